--- a/src/bergamottide/endpoint/endpointadapter.cpp
+++ b/src/bergamottide/endpoint/endpointadapter.cpp
@@ -1,8 +1,8 @@
 #include "bergamottide/endpoint/endpointadapter.h"
 
-#include "bergamottide/endpoint/calladapter.h"
 #include "bergamottide/endpoint/endpointwire.h"
 #include "bergamottide/endpoint/engineadapter.h"
+#include "bergamottide/endpoint/unaryadapter.h"
 
 #include <utility>
 
@@ -14,13 +14,13 @@
     case PoolKind::Engine:
         return std::make_unique<EngineAdapter>(loop, settings, std::move(hooks));
     case PoolKind::Service:
-        return std::make_unique<CallAdapter>(loop, settings, serviceRequest, std::move(hooks));
+        return std::make_unique<UnaryAdapter>(loop, settings, serviceRequest, std::move(hooks));
     case PoolKind::Encoder:
     case PoolKind::Retriever:
     case PoolKind::Reranker:
         break;
     }
-    return std::make_unique<CallAdapter>(loop, settings, stageRequest, std::move(hooks));
+    return std::make_unique<UnaryAdapter>(loop, settings, stageRequest, std::move(hooks));
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/endpoint/endpointadapter.h
+++ b/src/bergamottide/endpoint/endpointadapter.h
@@ -10,37 +10,35 @@
 
 namespace bergamottide {
 
-/*! @brief Hooks of an endpoint; called on the loop's thread, never from within a method of the adapter. */
+/*! @brief Callbacks of an adapter; called on the loop's thread, never from within a method of the adapter. */
 struct EndpointHooks
 {
+    /*! @brief Called for each piece of a result. */
     std::function<void(EndpointPiece)> piece;
-    /*! @brief Called once for each run started, last, unless the run was cancelled. */
+    /*! @brief Called once for each started run, after its last piece; never called for a canceled run. */
     std::function<void(EndpointFinished)> finished;
+    /*! @brief Called for each load report. */
     std::function<void(EndpointReport)> reported;
+    /*! @brief Called for each answer to an order; an order without an answer counts as refused. */
     std::function<void(OrderAnswered)> ordered;
 };
 
 /*! @brief Address and limits of one endpoint. */
 struct EndpointSettings
 {
-    /*! @brief IP number and port, `ip:port`. */
+    /*! @brief IP address and port, `ip:port`. */
     std::string address;
     PoolKind kind{};
-    /*!
-     * @brief Largest result of one run in bytes.
-     *
-     * A broken endpoint that never ends its answer costs this much memory for each of its own runs.
-     */
+    /*! @brief Maximum size of one result in bytes; bounds the memory that an endless response can use. */
     std::size_t maxResultBytes{4u << 20};
-    /*! @brief Silence after which a run is given up; longer than the longest stage may be silent. */
+    /*! @brief Time without data after which a run fails; must exceed the longest silence of a stage. */
     Duration silence{std::chrono::seconds{30}};
 };
 
 /**
- * @brief One endpoint as its side sees it; each kind of endpoint has an adapter.
+ * @brief Interface of a sidecar to its endpoint.
  *
- * The wire format of an endpoint lives in its adapter alone: another format is another
- * adapter and touches no decision.
+ * Each kind of endpoint has an adapter, which alone knows the wire format.
  */
 class EndpointAdapter
 {
@@ -54,26 +52,26 @@
     virtual void start(const EndpointStart &start) = 0;
 
     /**
-     * @brief Stops a run at the endpoint; none of its hooks is called afterwards.
-     * @param run Run to stop; one that has ended is ignored.
+     * @brief Cancels a run at the endpoint; no hook is called for it afterwards.
+     * @param run Run to cancel; a run that has ended is ignored.
      */
     virtual void cancel(const RunId &run) = 0;
 
     /**
-     * @brief Gives an order; an endpoint that takes none refuses it.
-     * @param order Order with its fencing number.
+     * @brief Sends an order; refused for endpoints that accept none.
+     * @param order Order with its fencing token.
      */
     virtual void order(const GiveOrder &order) = 0;
 
-    /*! @brief Asks the endpoint for its load; answered by `reported` if the endpoint tells. */
+    /*! @brief Requests a load report, which `reported` receives if the endpoint supports it. */
     virtual void poll() = 0;
 };
 
 /**
- * @brief Creates the adapter of an endpoint's kind.
- * @param loop Loop it runs on; outlives the adapter.
+ * @brief Creates the adapter for a kind of endpoint.
+ * @param loop Event loop; must outlive the adapter.
  * @param settings Address, kind and limits.
- * @param hooks Called for each event.
+ * @param hooks Callbacks for the events of the endpoint.
  * @return The adapter.
  */
 [[nodiscard]] std::unique_ptr<EndpointAdapter> makeEndpointAdapter(Loop &loop, const EndpointSettings &settings,
--- a/src/bergamottide/endpoint/endpointwire.cpp
+++ b/src/bergamottide/endpoint/endpointwire.cpp
@@ -13,13 +13,13 @@
 
 using Json = nlohmann::json;
 
-constexpr int firstSuccess = 200;
-constexpr int firstRedirect = 300;
-constexpr int tooManyRequests = 429;
-constexpr int serviceUnavailable = 503;
-/*! @brief Header by which an endpoint says that it has not begun. */
+constexpr int firstSuccessStatus = 200;
+constexpr int firstRedirectStatus = 300;
+constexpr int tooManyRequestsStatus = 429;
+constexpr int serviceUnavailableStatus = 503;
+/*! @brief Header with which an endpoint confirms that the run has not started. */
 constexpr std::string_view notStartedHeader = "x-not-started";
-/*! @brief Models read from one report; a longer list is cut, it only steers placement. */
+/*! @brief Maximum number of models read from one report; further ones are ignored. */
 constexpr std::size_t maxModels = 256;
 
 std::string dump(const Json &value)
@@ -27,7 +27,7 @@
     return value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-std::string jsonOf(const std::string &text)
+std::string toJsonValue(const std::string &text)
 {
     if (text.empty()) {
         return "null";
@@ -37,17 +37,17 @@
 
 HttpHeaders runHeaders(const StartRun &run)
 {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(run.remaining);
+    const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(run.remaining);
     return {{"content-type", "application/json"},
             {"x-request-id", run.run.request.text()},
             {"x-run", runName(run.run)},
             {"x-stage", run.stage.text()},
             {"x-workspace", run.workspace.text()},
             {"x-priority", absl::StrCat(run.priority)},
-            {"x-deadline", absl::StrCat(left.count(), "ms")}};
+            {"x-deadline", absl::StrCat(remaining.count(), "ms")}};
 }
 
-std::uint32_t smallNumber(const Json &object, const char *name)
+std::uint32_t uint32Field(const Json &object, const char *name)
 {
     const auto found = object.find(name);
     if (found == object.end() || !found->is_number_unsigned()) {
@@ -57,7 +57,7 @@
     return value > std::numeric_limits<std::uint32_t>::max() ? 0 : static_cast<std::uint32_t>(value);
 }
 
-std::vector<ModelName> modelsOf(const Json &object)
+std::vector<ModelName> parseModels(const Json &object)
 {
     std::vector<ModelName> models;
     const auto found = object.find("models");
@@ -86,8 +86,8 @@
     request.method = "POST";
     request.path = "/v1/run";
     request.headers = runHeaders(start.run);
-    request.body =
-        absl::StrCat("{\"request\":", jsonOf(start.run.body), ",\"previous\":", jsonOf(start.run.previous), "}");
+    request.body = absl::StrCat("{\"request\":", toJsonValue(start.run.body),
+                                ",\"previous\":", toJsonValue(start.run.previous), "}");
     return request;
 }
 
@@ -113,12 +113,12 @@
     request.path = "/v1/generate";
     request.headers = runHeaders(run);
     request.headers.emplace_back("accept", "text/event-stream");
-    request.body = absl::StrCat("{\"engine\":", dump(engine), ",\"request\":", jsonOf(run.body),
-                                ",\"previous\":", jsonOf(run.previous), "}");
+    request.body = absl::StrCat("{\"engine\":", dump(engine), ",\"request\":", toJsonValue(run.body),
+                                ",\"previous\":", toJsonValue(run.previous), "}");
     return request;
 }
 
-HttpRequest stopRequest(const RunId &run)
+HttpRequest cancelRequest(const RunId &run)
 {
     HttpRequest request;
     request.method = "DELETE";
@@ -141,16 +141,16 @@
     return request;
 }
 
-std::optional<EndpointReport> readReport(std::string_view body)
+std::optional<EndpointReport> parseLoadReport(std::string_view body)
 {
     const Json object = Json::parse(body, nullptr, false);
     if (!object.is_object()) {
         return std::nullopt;
     }
     EndpointReport report;
-    report.running = smallNumber(object, "running");
-    report.waiting = smallNumber(object, "waiting");
-    report.models = modelsOf(object);
+    report.running = uint32Field(object, "running");
+    report.waiting = uint32Field(object, "waiting");
+    report.models = parseModels(object);
     const auto fence = object.find("fence");
     if (fence != object.end() && fence->is_number_unsigned()) {
         report.fence = fence->get<std::uint64_t>();
@@ -158,7 +158,7 @@
     return report;
 }
 
-std::optional<EngineEvent> readEngineEvent(std::string_view data)
+std::optional<TokenEvent> parseTokenEvent(std::string_view data)
 {
     const Json object = Json::parse(data, nullptr, false);
     if (!object.is_object()) {
@@ -168,22 +168,22 @@
     if (text == object.end() || !text->is_string()) {
         return std::nullopt;
     }
-    return EngineEvent{smallNumber(object, "offset"), smallNumber(object, "tokens"), text->get<std::string>()};
+    return TokenEvent{uint32Field(object, "offset"), uint32Field(object, "tokens"), text->get<std::string>()};
 }
 
-CallEnd judgeAnswer(int status, const HttpHeaders &headers)
+CallOutcome classifyResponse(int status, const HttpHeaders &headers)
 {
-    if (status >= firstSuccess && status < firstRedirect) {
+    if (status >= firstSuccessStatus && status < firstRedirectStatus) {
         return {EndpointResult::Completed, Reason::None};
     }
-    const bool mayRefuse = status == tooManyRequests || status == serviceUnavailable;
-    if (mayRefuse && headerValue(headers, notStartedHeader) == "1") {
+    const bool isRefusalStatus = status == tooManyRequestsStatus || status == serviceUnavailableStatus;
+    if (isRefusalStatus && headerValue(headers, notStartedHeader) == "1") {
         return {EndpointResult::Refused, Reason::Overloaded};
     }
     return {EndpointResult::Failed, Reason::EndpointFailed};
 }
 
-CallEnd judgeFailure(HttpFailure failure)
+CallOutcome classifyFailure(HttpFailure failure)
 {
     switch (failure) {
     case HttpFailure::Connect:
--- a/src/bergamottide/endpoint/endpointwire.h
+++ b/src/bergamottide/endpoint/endpointwire.h
@@ -13,100 +13,101 @@
 
 /**
  * @file
- * @brief HTTP requests to endpoints and the meaning of their answers.
+ * @brief HTTP requests to endpoints and interpretation of their responses.
  */
 
 /**
- * @brief Returns the name of a run on the wire.
- * @param run Run to name.
- * @return `REQUEST-STAGE-ATTEMPT`, safe within a path.
+ * @brief Returns the identifier of a run on the wire.
+ * @param run Run.
+ * @return `REQUEST-STAGE-ATTEMPT`; needs no escaping in a URL path.
  */
 [[nodiscard]] std::string runName(const RunId &run);
 
 /**
- * @brief Makes the call of an encoder, retriever or reranker.
+ * @brief Creates the request to an encoder, retriever or reranker.
  * @param start Run to start.
  * @return `POST /v1/run` with the body `{"request":…,"previous":…}`.
  */
 [[nodiscard]] HttpRequest stageRequest(const EndpointStart &start);
 
 /**
- * @brief Makes the call of a plain service.
+ * @brief Creates the request to a plain service.
  * @param start Run to start.
- * @return Method and path of the pool with the caller's body as it stands.
+ * @return Method and path of the pool with the caller's unmodified body.
  */
 [[nodiscard]] HttpRequest serviceRequest(const EndpointStart &start);
 
 /**
- * @brief Makes the call of a model engine.
+ * @brief Creates the request for a generation by a model engine.
  * @param start Run to start.
- * @param fromToken Tokens already held; the engine sends only those after them.
- * @param resume The engine goes on with a run that it still holds, and starts none.
+ * @param fromToken Number of tokens already received; the engine sends the tokens after them.
+ * @param resume True to continue a run that the engine still holds; the engine then starts no new run.
  * @return `POST /v1/generate`.
  */
 [[nodiscard]] HttpRequest generateRequest(const EndpointStart &start, std::uint32_t fromToken, bool resume);
 
 /**
- * @brief Makes the call that stops a run at an engine.
- * @param run Run to stop.
+ * @brief Creates the request that cancels a run at an engine.
+ * @param run Run to cancel.
  * @return `DELETE /v1/generate/RUN`.
  */
-[[nodiscard]] HttpRequest stopRequest(const RunId &run);
+[[nodiscard]] HttpRequest cancelRequest(const RunId &run);
 
 /**
- * @brief Makes the call that gives an order to an engine.
- * @param order Order to give.
+ * @brief Creates the request that sends an order to an engine.
+ * @param order Order to send.
  * @return `POST /v1/orders`.
  */
 [[nodiscard]] HttpRequest orderRequest(const GiveOrder &order);
 
 /**
- * @brief Reads a load report.
- * @param body Body of the answer to `GET /v1/load`.
+ * @brief Parses a load report.
+ * @param body Response body of `GET /v1/load`.
  * @return The report, or nothing if it is malformed.
  */
-[[nodiscard]] std::optional<EndpointReport> readReport(std::string_view body);
+[[nodiscard]] std::optional<EndpointReport> parseLoadReport(std::string_view body);
 
-/*! @brief One event of an engine's stream. */
-struct EngineEvent
+/*! @brief Data of a `token` event in an engine's stream. */
+struct TokenEvent
 {
-    /*! @brief Number of tokens before this piece. */
+    /*! @brief Number of tokens before this event. */
     std::uint32_t offset{};
+    /*! @brief Number of tokens in this event. */
     std::uint32_t tokens{};
     std::string text;
 };
 
 /**
- * @brief Reads the data of a `token` event.
+ * @brief Parses the data of a `token` event.
  * @param data Data of the event.
  * @return The event, or nothing if it is malformed.
  */
-[[nodiscard]] std::optional<EngineEvent> readEngineEvent(std::string_view data);
+[[nodiscard]] std::optional<TokenEvent> parseTokenEvent(std::string_view data);
 
-/*! @brief End of a call as the side is told. */
-struct CallEnd
+/*! @brief Outcome of an HTTP call, as reported to the sidecar. */
+struct CallOutcome
 {
     EndpointResult result{};
     Reason reason{};
 };
 
 /**
- * @brief Judges the head of a whole answer.
+ * @brief Derives the outcome of a run from the head of a response.
  *
- * Only a 429 or a 503 that carries `X-Not-Started: 1` says that nothing was done; any other
- * status outside of 200 to 299 may come from an endpoint that began.
+ * Only a 429 or 503 with `X-Not-Started: 1` counts as a refusal; after any other status
+ * outside of 200 to 299 the run may have started.
  *
- * @param status HTTP status.
- * @param headers Header lines.
- * @return What became of the run.
+ * @param status HTTP status code.
+ * @param headers HTTP headers.
+ * @return Completed, refused or failed.
  */
-[[nodiscard]] CallEnd judgeAnswer(int status, const HttpHeaders &headers);
+[[nodiscard]] CallOutcome classifyResponse(int status, const HttpHeaders &headers);
 
 /**
- * @brief Judges a call without a whole answer.
- * @param failure Why it failed.
- * @return Refused if nothing was sent, otherwise failed.
+ * @brief Derives the outcome of a run from a call without a complete response.
+ * @param failure Cause of the failure.
+ * @return Refused if no connection was established, otherwise failed.
  */
-[[nodiscard]] CallEnd judgeFailure(HttpFailure failure);
+[[nodiscard]] CallOutcome classifyFailure(HttpFailure failure);
 
 } // namespace bergamottide
--- a/src/bergamottide/endpoint/engineadapter.cpp
+++ b/src/bergamottide/endpoint/engineadapter.cpp
@@ -1,6 +1,6 @@
 #include "bergamottide/endpoint/engineadapter.h"
 
-#include "bergamottide/endpoint/calladapter.h"
+#include "bergamottide/endpoint/unaryadapter.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,29 +9,24 @@
 
 namespace {
 
-/*!
- * @brief Times one run is taken up again after its stream broke.
- *
- * Two cover a connection lost and its successor; an engine that breaks more often is
- * failing, and the time left is better spent on another engine.
- */
-constexpr int maxResumes = 2;
-/*! @brief Largest event of a stream: a token batch of an engine is a few hundred bytes. */
+/*! @brief Maximum number of resumptions of one run; an engine that breaks more streams counts as failing. */
+constexpr int maxResumptions = 2;
+/*! @brief Maximum size of one server-sent event in bytes. */
 constexpr std::size_t maxEventBytes = 64u << 10;
-/*! @brief Bytes of a stream for each byte of result allowed, for the frames around small tokens. */
+/*! @brief Maximum ratio of stream bytes to result bytes; small tokens have a large framing overhead. */
 constexpr std::size_t framingFactor = 64;
-/*! @brief Largest answer to an order or a question for the load. */
+/*! @brief Maximum response size of orders, cancellations and load requests in bytes. */
 constexpr std::size_t maxControlBytes = 64u << 10;
-/*! @brief Silence after which an order or a question for the load is given up. */
+/*! @brief I/O timeout of orders, cancellations and load requests. */
 constexpr Duration controlTimeout = std::chrono::seconds{5};
 
-HttpClientOptions streamOptions(HttpClientOptions options)
+HttpClientOptions streamClientOptions(HttpClientOptions options)
 {
     options.maxBodyBytes *= framingFactor;
     return options;
 }
 
-HttpClientOptions controlOptions()
+HttpClientOptions controlClientOptions()
 {
     HttpClientOptions options;
     options.ioTimeout = controlTimeout;
@@ -45,64 +40,64 @@
 {
     explicit Run(EndpointStart origin)
         : start{std::move(origin)}
-        , tokens{start.resumeTokens}
+        , tokens{start.receivedTokens}
     {
     }
 
     EndpointStart start;
-    /*! @brief Tokens held so far, with those of an earlier connection. */
+    /*! @brief Number of tokens received so far, over all connections. */
     std::uint32_t tokens;
-    std::size_t bytes{};
+    std::size_t resultBytes{};
     SseParser parser{maxEventBytes};
     HttpClient *client{};
     HttpCallId call{};
-    /*! @brief Judgement of the head; completed while no head has come. */
-    CallEnd head;
-    bool headSeen{};
-    /*! @brief The engine has sent its closing event. */
-    bool done{};
-    /*! @brief Set when the stream breaks a limit or its own order. */
+    /*! @brief Outcome according to the response head; `Completed` until a head has been received. */
+    CallOutcome responseOutcome;
+    bool headReceived{};
+    /*! @brief The engine has sent its `done` event. */
+    bool endReceived{};
+    /*! @brief Set when the stream exceeds a limit, is malformed or reports an error. */
     Reason fault{Reason::None};
-    int resumes{};
+    int resumptions{};
 };
 
 EngineAdapter::EngineAdapter(Loop &loop, const EndpointSettings &settings, EndpointHooks hooks)
     : m_settings{settings}
     , m_hooks{std::move(hooks)}
-    , m_client{loop, streamOptions(repeatableClientOptions(settings))}
-    , m_onceClient{loop, streamOptions(onceClientOptions(settings))}
-    , m_controlClient{loop, controlOptions()}
+    , m_client{loop, streamClientOptions(repeatableClientOptions(settings))}
+    , m_atMostOnceClient{loop, streamClientOptions(atMostOnceClientOptions(settings))}
+    , m_controlClient{loop, controlClientOptions()}
 {
 }
 
 void EngineAdapter::start(const EndpointStart &start)
 {
     auto run = std::make_shared<Run>(start);
-    run->client = start.run.serial == noSerial ? &m_client : &m_onceClient;
+    run->client = start.run.serial == noSerial ? &m_client : &m_atMostOnceClient;
     m_runs[start.run.run] = run;
-    call(run);
+    sendRequest(run);
 }
 
-void EngineAdapter::call(const std::shared_ptr<Run> &run)
+void EngineAdapter::sendRequest(const std::shared_ptr<Run> &run)
 {
-    run->headSeen = false;
-    run->head = {};
+    run->headReceived = false;
+    run->responseOutcome = {};
     run->parser = SseParser{maxEventBytes};
     HttpCallHooks hooks;
     hooks.head = [run](int status, const HttpHeaders &headers) {
-        run->headSeen = true;
-        run->head = judgeAnswer(status, headers);
+        run->headReceived = true;
+        run->responseOutcome = classifyResponse(status, headers);
     };
     hooks.piece = [this, run](std::string_view bytes) {
-        took(run, bytes);
+        handleBytes(run, bytes);
     };
     hooks.done = [this, run](const HttpAnswer &) {
-        ended(run);
+        handleResponseEnd(run);
     };
     hooks.failed = [this, run](HttpFailure failure) {
-        broke(run, failure);
+        handleFailure(run, failure);
     };
-    const bool resume = run->resumes > 0;
+    const bool resume = run->resumptions > 0;
     run->call =
         run->client->call(m_settings.address, generateRequest(run->start, run->tokens, resume), std::move(hooks));
 }
@@ -120,7 +115,7 @@
     };
     ignored.failed = [](HttpFailure) {
     };
-    m_controlClient.call(m_settings.address, stopRequest(run), std::move(ignored));
+    m_controlClient.call(m_settings.address, cancelRequest(run), std::move(ignored));
 }
 
 void EngineAdapter::order(const GiveOrder &order)
@@ -128,8 +123,8 @@
     const std::uint64_t fence = order.fence;
     HttpCallHooks hooks;
     hooks.done = [this, fence](const HttpAnswer &answer) {
-        const CallEnd end = judgeAnswer(answer.status, answer.headers);
-        m_hooks.ordered(OrderAnswered{fence, end.result == EndpointResult::Completed});
+        const CallOutcome outcome = classifyResponse(answer.status, answer.headers);
+        m_hooks.ordered(OrderAnswered{fence, outcome.result == EndpointResult::Completed});
     };
     hooks.failed = [this, fence](HttpFailure) {
         m_hooks.ordered(OrderAnswered{fence, false});
@@ -139,7 +134,7 @@
 
 void EngineAdapter::poll()
 {
-    if (m_poll != HttpCallId{}) {
+    if (m_loadCall != HttpCallId{}) {
         return;
     }
     HttpRequest request;
@@ -147,26 +142,27 @@
     request.path = "/v1/load";
     HttpCallHooks hooks;
     hooks.done = [this](const HttpAnswer &answer) {
-        m_poll = {};
-        auto report = readReport(answer.body);
-        if (report && judgeAnswer(answer.status, answer.headers).result == EndpointResult::Completed) {
+        m_loadCall = {};
+        auto report = parseLoadReport(answer.body);
+        if (report && classifyResponse(answer.status, answer.headers).result == EndpointResult::Completed) {
             m_hooks.reported(std::move(*report));
         }
     };
     hooks.failed = [this](HttpFailure) {
-        m_poll = {};
+        m_loadCall = {};
     };
-    m_poll = m_controlClient.call(m_settings.address, std::move(request), std::move(hooks));
+    m_loadCall = m_controlClient.call(m_settings.address, std::move(request), std::move(hooks));
 }
 
-void EngineAdapter::took(const std::shared_ptr<Run> &run, std::string_view bytes)
+void EngineAdapter::handleBytes(const std::shared_ptr<Run> &run, std::string_view bytes)
 {
-    if (run->fault != Reason::None || run->head.result != EndpointResult::Completed) {
+    if (run->fault != Reason::None || run->responseOutcome.result != EndpointResult::Completed) {
         return;
     }
     const RunId id = run->start.run.run;
-    const bool within = run->parser.feed(bytes, [this, &run](const ServerSentEvent &event) { takeEvent(*run, event); });
-    if (!within && run->fault == Reason::None) {
+    const bool isWithinLimits =
+        run->parser.feed(bytes, [this, &run](const ServerSentEvent &event) { handleEvent(*run, event); });
+    if (!isWithinLimits && run->fault == Reason::None) {
         run->fault = Reason::AnswerTooLarge;
     }
     if (run->fault == Reason::None || !m_runs.contains(id)) {
@@ -177,14 +173,14 @@
     m_hooks.finished(EndpointFinished{id, EndpointResult::Failed, fault});
 }
 
-void EngineAdapter::takeEvent(Run &run, const ServerSentEvent &event)
+void EngineAdapter::handleEvent(Run &run, const ServerSentEvent &event)
 {
     const auto found = m_runs.find(run.start.run.run);
-    if (found == m_runs.end() || run.done || run.fault != Reason::None) {
+    if (found == m_runs.end() || run.endReceived || run.fault != Reason::None) {
         return;
     }
     if (event.type == "done") {
-        run.done = true;
+        run.endReceived = true;
         return;
     }
     if (event.type == "error") {
@@ -194,27 +190,27 @@
     if (event.type != "token") {
         return;
     }
-    const auto tokens = readEngineEvent(event.data);
+    const auto tokens = parseTokenEvent(event.data);
     if (!tokens) {
         run.fault = Reason::EndpointFailed;
         return;
     }
-    takeTokens(run, *tokens);
+    handleTokens(run, *tokens);
 }
 
-void EngineAdapter::takeTokens(Run &run, const EngineEvent &event)
+void EngineAdapter::handleTokens(Run &run, const TokenEvent &event)
 {
     if (event.offset + event.tokens <= run.tokens && event.tokens > 0) {
-        // Already held from an earlier connection.
+        // Received already on an earlier connection.
         return;
     }
     if (event.offset != run.tokens) {
-        // Tokens are missing, or a batch reaches back over the point of resumption.
+        // Tokens are missing, or an event overlaps the point of resumption.
         run.fault = Reason::EndpointFailed;
         return;
     }
-    run.bytes += event.text.size();
-    if (run.bytes > m_settings.maxResultBytes) {
+    run.resultBytes += event.text.size();
+    if (run.resultBytes > m_settings.maxResultBytes) {
         run.fault = Reason::AnswerTooLarge;
         return;
     }
@@ -222,49 +218,49 @@
     m_hooks.piece(EndpointPiece{run.start.run.run, event.text, event.tokens});
 }
 
-void EngineAdapter::ended(const std::shared_ptr<Run> &run)
+void EngineAdapter::handleResponseEnd(const std::shared_ptr<Run> &run)
 {
     const RunId id = run->start.run.run;
-    if (run->head.result != EndpointResult::Completed) {
-        // A refusal to resume tells nothing about the run that broke off.
-        const bool refused = run->head.result == EndpointResult::Refused && run->resumes == 0;
-        finish(id, refused ? EndpointResult::Refused : EndpointResult::Failed, run->head.reason);
+    if (run->responseOutcome.result != EndpointResult::Completed) {
+        // A refused resumption says nothing about the run itself, which has started.
+        const bool refused = run->responseOutcome.result == EndpointResult::Refused && run->resumptions == 0;
+        finish(id, refused ? EndpointResult::Refused : EndpointResult::Failed, run->responseOutcome.reason);
         return;
     }
-    if (run->done) {
+    if (run->endReceived) {
         finish(id, EndpointResult::Completed, Reason::None);
         return;
     }
     resumeOrFail(run, Reason::EndpointFailed);
 }
 
-void EngineAdapter::broke(const std::shared_ptr<Run> &run, HttpFailure failure)
+void EngineAdapter::handleFailure(const std::shared_ptr<Run> &run, HttpFailure failure)
 {
-    const CallEnd end = judgeFailure(failure);
+    const CallOutcome outcome = classifyFailure(failure);
     const RunId id = run->start.run.run;
-    if (end.result == EndpointResult::Refused && run->resumes == 0) {
-        finish(id, EndpointResult::Refused, end.reason);
+    if (outcome.result == EndpointResult::Refused && run->resumptions == 0) {
+        finish(id, EndpointResult::Refused, outcome.reason);
         return;
     }
-    if (run->done) {
+    if (run->endReceived) {
         finish(id, EndpointResult::Completed, Reason::None);
         return;
     }
     if (failure == HttpFailure::Broken) {
-        resumeOrFail(run, end.reason);
+        resumeOrFail(run, outcome.reason);
         return;
     }
-    finish(id, EndpointResult::Failed, end.reason);
+    finish(id, EndpointResult::Failed, outcome.reason);
 }
 
 void EngineAdapter::resumeOrFail(const std::shared_ptr<Run> &run, Reason reason)
 {
-    if (!run->headSeen || run->resumes == maxResumes) {
+    if (!run->headReceived || run->resumptions == maxResumptions) {
         finish(run->start.run.run, EndpointResult::Failed, reason);
         return;
     }
-    ++run->resumes;
-    call(run);
+    ++run->resumptions;
+    sendRequest(run);
 }
 
 void EngineAdapter::finish(const RunId &run, EndpointResult result, Reason reason)
--- a/src/bergamottide/endpoint/engineadapter.h
+++ b/src/bergamottide/endpoint/engineadapter.h
@@ -12,20 +12,20 @@
 namespace bergamottide {
 
 /**
- * @brief Model engine: HTTP with server-sent events.
+ * @brief Adapter of model engines, which stream tokens as server-sent events over HTTP.
  *
- * A stream that breaks off after the engine has begun is taken up again at the token
- * reached, on a new connection. The engine goes on with the run that it still holds; it
- * starts none, so this is safe for runs that must not be repeated.
+ * A stream that breaks after the response has begun is resumed at the next missing token on
+ * a new connection. A resumption never starts a new run, so it is safe for at-most-once
+ * runs.
  */
 class EngineAdapter final : public EndpointAdapter
 {
 public:
     /**
      * @brief Creates an adapter.
-     * @param loop Loop it runs on; outlives the adapter.
-     * @param settings Address and limits.
-     * @param hooks Called for each event.
+     * @param loop Event loop; must outlive the adapter.
+     * @param settings Address and limits of the endpoint.
+     * @param hooks Callbacks for the events of the endpoint.
      */
     EngineAdapter(Loop &loop, const EndpointSettings &settings, EndpointHooks hooks);
 
@@ -37,21 +37,22 @@
 private:
     struct Run;
 
-    void call(const std::shared_ptr<Run> &run);
-    void took(const std::shared_ptr<Run> &run, std::string_view bytes);
-    void takeEvent(Run &run, const ServerSentEvent &event);
-    void takeTokens(Run &run, const EngineEvent &event);
-    void ended(const std::shared_ptr<Run> &run);
-    void broke(const std::shared_ptr<Run> &run, HttpFailure failure);
+    void sendRequest(const std::shared_ptr<Run> &run);
+    void handleBytes(const std::shared_ptr<Run> &run, std::string_view bytes);
+    void handleEvent(Run &run, const ServerSentEvent &event);
+    void handleTokens(Run &run, const TokenEvent &event);
+    void handleResponseEnd(const std::shared_ptr<Run> &run);
+    void handleFailure(const std::shared_ptr<Run> &run, HttpFailure failure);
     void resumeOrFail(const std::shared_ptr<Run> &run, Reason reason);
     void finish(const RunId &run, EndpointResult result, Reason reason);
 
     EndpointSettings m_settings;
     EndpointHooks m_hooks;
     HttpClient m_client;
-    HttpClient m_onceClient;
+    HttpClient m_atMostOnceClient;
     HttpClient m_controlClient;
-    HttpCallId m_poll{};
+    /*! @brief Pending load request; empty if there is none. */
+    HttpCallId m_loadCall{};
     std::unordered_map<RunId, std::shared_ptr<Run>> m_runs;
 };
 
--- a/src/bergamottide/endpoint/sseparser.cpp
+++ b/src/bergamottide/endpoint/sseparser.cpp
@@ -9,7 +9,7 @@
 {
 }
 
-bool SseParser::feed(std::string_view bytes, const Hook &hook)
+bool SseParser::feed(std::string_view bytes, const EventHook &onEvent)
 {
     while (!bytes.empty()) {
         const std::size_t end = bytes.find('\n');
@@ -23,21 +23,21 @@
         }
         bytes.remove_prefix(end + 1);
         const std::string line = std::exchange(m_line, {});
-        if (!takeLine(line, hook)) {
+        if (!handleLine(line, onEvent)) {
             return false;
         }
     }
     return true;
 }
 
-bool SseParser::takeLine(std::string_view line, const Hook &hook)
+bool SseParser::handleLine(std::string_view line, const EventHook &onEvent)
 {
     if (!line.empty() && line.back() == '\r') {
         line.remove_suffix(1);
     }
     if (line.empty()) {
         if (m_hasData) {
-            hook(std::exchange(m_event, {}));
+            onEvent(std::exchange(m_event, {}));
         }
         m_event = {};
         m_hasData = false;
--- a/src/bergamottide/endpoint/sseparser.h
+++ b/src/bergamottide/endpoint/sseparser.h
@@ -10,39 +10,39 @@
 /*! @brief One server-sent event. */
 struct ServerSentEvent
 {
-    /*! @brief Type of the event; empty for an ordinary one. */
+    /*! @brief Event type; empty if the event has no `event` field. */
     std::string type;
-    /*! @brief Its data lines, joined by line feeds. */
+    /*! @brief Values of its `data` fields, joined by line feeds. */
     std::string data;
 };
 
 /**
- * @brief Cuts a stream of bytes into server-sent events.
+ * @brief Incremental parser of server-sent events.
  *
- * A line or an event above its limit ends the stream: the sender is broken or hostile, and
- * what it sends must not grow without end in memory.
+ * It fails on a line or an event above the size limit, so that a broken or hostile sender
+ * cannot exhaust memory.
  */
 class SseParser
 {
 public:
-    using Hook = std::function<void(ServerSentEvent event)>;
+    using EventHook = std::function<void(ServerSentEvent event)>;
 
     /**
      * @brief Creates a parser.
-     * @param maxEventBytes Largest line and largest event in bytes.
+     * @param maxEventBytes Maximum size of a line and of the data of an event in bytes.
      */
     explicit SseParser(std::size_t maxEventBytes);
 
     /**
-     * @brief Takes the next bytes.
-     * @param bytes Bytes as they come, cut anywhere.
-     * @param hook Called for each event that is now whole.
-     * @return False once a limit is exceeded; the rest of the stream is worthless then.
+     * @brief Parses the next bytes of the stream.
+     * @param bytes Bytes, split at any position.
+     * @param onEvent Called for each complete event.
+     * @return False if a limit is exceeded; the parser must not be used afterwards.
      */
-    [[nodiscard]] bool feed(std::string_view bytes, const Hook &hook);
+    [[nodiscard]] bool feed(std::string_view bytes, const EventHook &onEvent);
 
 private:
-    bool takeLine(std::string_view line, const Hook &hook);
+    bool handleLine(std::string_view line, const EventHook &onEvent);
 
     std::size_t m_maxEventBytes;
     std::string m_line;
--- a/src/bergamottide/side/sideevents.h
+++ b/src/bergamottide/side/sideevents.h
@@ -9,7 +9,7 @@
 
 namespace bergamottide {
 
-/*! @brief Event: a piece of a result has come from the endpoint. */
+/*! @brief Event: the endpoint has sent a piece of a result. */
 struct EndpointPiece
 {
     RunId run;
@@ -21,9 +21,9 @@
 enum class EndpointResult : std::uint8_t
 {
     Completed,
-    /*! @brief The endpoint refused before it started; the run did nothing. */
+    /*! @brief The endpoint refused the run before it started. */
     Refused,
-    /*! @brief The endpoint started and failed, or may have. */
+    /*! @brief The run failed, and it may have started. */
     Failed
 };
 
@@ -41,17 +41,17 @@
     Reason reason{};
 };
 
-/*! @brief Event: the endpoint has reported its own load; it lags. */
+/*! @brief Event: the endpoint has reported its load; the figures lag behind. */
 struct EndpointReport
 {
     std::uint32_t running{};
     std::uint32_t waiting{};
     std::vector<ModelName> models;
-    /*! @brief Largest fencing number the engine has seen; zero if it does not tell. */
+    /*! @brief Highest fencing token that the engine has seen; zero if it reports none. */
     std::uint64_t fence{};
 };
 
-/*! @brief What an order asks of an engine. */
+/*! @brief Kind of an order to an engine. */
 enum class OrderKind : std::uint8_t
 {
     LoadModel,
@@ -68,7 +68,7 @@
                                                            "set_role"};
 };
 
-/*! @brief Effect: give an order to the engine beside this side. */
+/*! @brief Effect: send an order to the engine of this sidecar. */
 struct GiveOrder
 {
     std::uint64_t fence{};
@@ -85,30 +85,30 @@
     bool accepted{};
 };
 
-/*! @brief Any event of a side. */
+/*! @brief Any event of a sidecar. */
 using SideEvent = std::variant<PeerMessage, PeerUp, PeerDown, EndpointPiece, EndpointFinished, EndpointReport,
                                OrderAnswered, ConfigChanged, ViewChanged, DrainRequested, Tick>;
 
-/*! @brief Effect: start a call to the endpoint. */
+/*! @brief Effect: start a run at the endpoint. */
 struct EndpointStart
 {
     StartRun run;
     Pool pool;
-    /*! @brief Pieces of the result already held, for an engine that resumes; in tokens. */
-    std::uint32_t resumeTokens{};
+    /*! @brief Number of tokens already received; the engine resumes after them. */
+    std::uint32_t receivedTokens{};
 };
 
-/*! @brief Effect: cancel a call to the endpoint; no further event of it is wanted. */
+/*! @brief Effect: cancel a run at the endpoint; no further events of it are expected. */
 struct EndpointCancel
 {
     RunId run;
 };
 
-/*! @brief Any effect of a side. */
+/*! @brief Any effect of a sidecar. */
 using SideEffect =
     std::variant<SendMessage, EndpointStart, EndpointCancel, GiveOrder, DrainComplete, LogLine, AuditRecord, Observe>;
 
-/*! @brief Effects of one event, in the order in which they are carried out. */
+/*! @brief Effects of one event, in order of execution. */
 using SideEffects = std::vector<SideEffect>;
 
 } // namespace bergamottide
--- a/test/bergamottide/endpoint/endpointadapter.cpp
+++ b/test/bergamottide/endpoint/endpointadapter.cpp
@@ -18,19 +18,19 @@
 namespace {
 
 constexpr std::size_t maxResultBytes = 64u << 10;
-/*! @brief Bytes that a hostile endpoint has to be stopped at: what is in the sockets' buffers comes on top. */
-constexpr std::size_t maxTakenBytes = 64u << 20;
+/*! @brief Upper bound of the bytes that a hostile endpoint can send; includes the socket buffers. */
+constexpr std::size_t maxSentBytes = 64u << 20;
 
-/*! @brief One adapter on a real loop, with everything it reports. */
-class Bench
+/*! @brief An adapter on a real event loop that records the reported events. */
+class AdapterFixture
 {
 public:
-    Bench(const std::string &address, PoolKind kind)
+    AdapterFixture(const std::string &address, PoolKind kind)
         : m_adapter{makeEndpointAdapter(m_loop, settings(address, kind), hooks())}
     {
     }
 
-    static EndpointStart startOf(std::uint32_t tokens, Serial serial = noSerial)
+    static EndpointStart makeStart(std::uint32_t tokens, Serial serial = noSerial)
     {
         EndpointStart start;
         start.run.run = RunId{RequestId{1, 2}, 3, 1};
@@ -44,11 +44,11 @@
     EndpointFinished run(const EndpointStart &start)
     {
         m_adapter->start(start);
-        awaitEnd();
+        waitUntilFinished();
         return *m_finished;
     }
 
-    void awaitEnd()
+    void waitUntilFinished()
     {
         for (int round = 0; !m_finished && round < maxRounds; ++round) {
             m_loop.runOnce(std::chrono::milliseconds{10});
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT(m_finished);
     }
 
-    void pass(int rounds)
+    void runLoop(int rounds)
     {
         for (int round = 0; round < rounds; ++round) {
             m_loop.runOnce(std::chrono::milliseconds{1});
@@ -129,11 +129,11 @@
     std::unique_ptr<EndpointAdapter> m_adapter;
 };
 
-/*! @brief A stand-in on its own port, in the loop of a bench that is given its address later. */
-class Served
+/*! @brief HTTP server that serves a stand-in endpoint on its own port. */
+class StandInServer
 {
 public:
-    Served(Loop &loop, std::unique_ptr<standin::StandIn> standIn)
+    StandInServer(Loop &loop, std::unique_ptr<standin::StandIn> standIn)
         : m_standIn{std::move(standIn)}
         , m_server{loop, HttpServerOptions{"127.0.0.1:0", {}, 1u << 20},
                    [this](HttpRequest request, std::shared_ptr<HttpResponder> responder) {
@@ -153,209 +153,209 @@
     HttpServer m_server;
 };
 
-/*! @brief Runs one call against a hostile endpoint. */
-EndpointFinished runHostile(PoolKind kind, RawScript script, std::size_t *sent = nullptr)
+/*! @brief Runs one call against a server that sends the scripted bytes. */
+EndpointFinished runAgainstScript(PoolKind kind, RawScript script, std::size_t *sent = nullptr)
 {
     const RawServer server{std::move(script)};
-    Bench bench{server.address(), kind};
-    const EndpointFinished finished = bench.run(Bench::startOf(8));
+    AdapterFixture fixture{server.address(), kind};
+    const EndpointFinished finished = fixture.run(AdapterFixture::makeStart(8));
     if (sent != nullptr) {
         *sent = server.sent();
     }
     return finished;
 }
 
-const std::string okHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
+const std::string streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
 } // namespace
 
-/*! @brief Adapters against broken and hostile endpoints, and the resumption of streams. */
+/*! @brief Adapters with broken and hostile endpoints, and the resumption of broken streams. */
 class EndpointAdapterTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EndpointAdapterTest);
-    CPPUNIT_TEST(absentEndpointRefuses);
-    CPPUNIT_TEST(refusalCountsOnlyIfTheEndpointSaysThatNothingStarted);
-    CPPUNIT_TEST(garbageStatusFails);
-    CPPUNIT_TEST(closeInMidBodyFails);
-    CPPUNIT_TEST(wrongLengthCostsNoMoreThanItsRun);
-    CPPUNIT_TEST(endlessBodyIsCutOff);
-    CPPUNIT_TEST(endlessHeadIsCutOff);
-    CPPUNIT_TEST(endlessLineOfAnEngineIsCutOff);
-    CPPUNIT_TEST(endlessTokensOfAnEngineAreCutOff);
-    CPPUNIT_TEST(brokenStreamIsResumedWithoutLossOrRepeat);
-    CPPUNIT_TEST(gapInTheTokensFails);
-    CPPUNIT_TEST(cancelledRunIsSilent);
+    CPPUNIT_TEST(unreachableEndpointIsARefusal);
+    CPPUNIT_TEST(refusalRequiresNotStartedHeader);
+    CPPUNIT_TEST(malformedStatusLineFails);
+    CPPUNIT_TEST(truncatedBodyFails);
+    CPPUNIT_TEST(bytesAfterContentLengthAreDiscarded);
+    CPPUNIT_TEST(endlessBodyIsAborted);
+    CPPUNIT_TEST(endlessHeadIsAborted);
+    CPPUNIT_TEST(endlessLineOfAnEngineIsAborted);
+    CPPUNIT_TEST(endlessTokensOfAnEngineAreAborted);
+    CPPUNIT_TEST(brokenStreamIsResumedWithoutLossOrDuplication);
+    CPPUNIT_TEST(missingTokensFailTheRun);
+    CPPUNIT_TEST(cancelledRunReportsNothing);
     CPPUNIT_TEST(orderWithOldFenceIsRefused);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void absentEndpointRefuses()
+    void unreachableEndpointIsARefusal()
     {
         std::string address;
         {
-            const RawServer gone{{}};
-            address = gone.address();
+            const RawServer closedServer{{}};
+            address = closedServer.address();
         }
         for (const PoolKind kind : {PoolKind::Encoder, PoolKind::Engine}) {
-            Bench bench{address, kind};
-            CPPUNIT_ASSERT(bench.run(Bench::startOf(8)).result == EndpointResult::Refused);
+            AdapterFixture fixture{address, kind};
+            CPPUNIT_ASSERT(fixture.run(AdapterFixture::makeStart(8)).result == EndpointResult::Refused);
         }
     }
 
-    void refusalCountsOnlyIfTheEndpointSaysThatNothingStarted()
+    void refusalRequiresNotStartedHeader()
     {
-        const std::string plain = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+        const std::string unmarked = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
         const std::string marked = "HTTP/1.1 503 Busy\r\nX-Not-Started: 1\r\nContent-Length: 0\r\n\r\n";
         for (const PoolKind kind : {PoolKind::Service, PoolKind::Engine}) {
-            CPPUNIT_ASSERT(runHostile(kind, {plain, "", 0}).result == EndpointResult::Failed);
-            CPPUNIT_ASSERT(runHostile(kind, {marked, "", 0}).result == EndpointResult::Refused);
+            CPPUNIT_ASSERT(runAgainstScript(kind, {unmarked, "", 0}).result == EndpointResult::Failed);
+            CPPUNIT_ASSERT(runAgainstScript(kind, {marked, "", 0}).result == EndpointResult::Refused);
         }
     }
 
-    void garbageStatusFails()
+    void malformedStatusLineFails()
     {
         for (const PoolKind kind : {PoolKind::Encoder, PoolKind::Engine}) {
-            CPPUNIT_ASSERT(runHostile(kind, {"\x01\x02garbage\r\n\r\n", "", 0}).result == EndpointResult::Failed);
+            CPPUNIT_ASSERT(runAgainstScript(kind, {"\x01\x02garbage\r\n\r\n", "", 0}).result == EndpointResult::Failed);
         }
     }
 
-    void closeInMidBodyFails()
+    void truncatedBodyFails()
     {
         const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf";
-        CPPUNIT_ASSERT(runHostile(PoolKind::Encoder, {head, "", 0}).result == EndpointResult::Failed);
-        const std::string stream = okHead + "event: token\ndata: {\"offset\":0,\"tokens\":1,\"text\":\"a\"}\n\n";
-        CPPUNIT_ASSERT(runHostile(PoolKind::Engine, {stream, "", 0}).result == EndpointResult::Failed);
+        CPPUNIT_ASSERT(runAgainstScript(PoolKind::Encoder, {head, "", 0}).result == EndpointResult::Failed);
+        const std::string stream = streamHead + "event: token\ndata: {\"offset\":0,\"tokens\":1,\"text\":\"a\"}\n\n";
+        CPPUNIT_ASSERT(runAgainstScript(PoolKind::Engine, {stream, "", 0}).result == EndpointResult::Failed);
     }
 
-    void wrongLengthCostsNoMoreThanItsRun()
+    void bytesAfterContentLengthAreDiscarded()
     {
-        // Shorter than what follows: the rest must not be taken for the answer of another run.
+        // The bytes after the body must not be read as the response of another run.
         const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}HTTP/1.1 200 OK\r\n";
         const RawServer server{RawScript{head, "", 0}};
-        Bench bench{server.address(), PoolKind::Encoder};
-        CPPUNIT_ASSERT(bench.run(Bench::startOf(8)).result == EndpointResult::Completed);
-        CPPUNIT_ASSERT_EQUAL(std::string{"{}"}, bench.text());
+        AdapterFixture fixture{server.address(), PoolKind::Encoder};
+        CPPUNIT_ASSERT(fixture.run(AdapterFixture::makeStart(8)).result == EndpointResult::Completed);
+        CPPUNIT_ASSERT_EQUAL(std::string{"{}"}, fixture.text());
     }
 
-    void endlessBodyIsCutOff()
+    void endlessBodyIsAborted()
     {
         std::size_t sent = 0;
-        const auto finished =
-            runHostile(PoolKind::Encoder, {"HTTP/1.1 200 OK\r\n\r\n", std::string(64u << 10, 'x'), 100'000}, &sent);
+        const auto finished = runAgainstScript(
+            PoolKind::Encoder, {"HTTP/1.1 200 OK\r\n\r\n", std::string(64u << 10, 'x'), 100'000}, &sent);
         CPPUNIT_ASSERT(finished.result == EndpointResult::Failed);
         CPPUNIT_ASSERT(finished.reason == Reason::AnswerTooLarge);
-        CPPUNIT_ASSERT(sent < maxTakenBytes);
+        CPPUNIT_ASSERT(sent < maxSentBytes);
     }
 
-    void endlessHeadIsCutOff()
+    void endlessHeadIsAborted()
     {
         std::size_t sent = 0;
         const std::string line = "X-Filler: " + std::string(1000, 'x') + "\r\n";
-        const auto finished = runHostile(PoolKind::Encoder, {"HTTP/1.1 200 OK\r\n", line, 1'000'000}, &sent);
+        const auto finished = runAgainstScript(PoolKind::Encoder, {"HTTP/1.1 200 OK\r\n", line, 1'000'000}, &sent);
         CPPUNIT_ASSERT(finished.result == EndpointResult::Failed);
-        CPPUNIT_ASSERT(sent < maxTakenBytes);
+        CPPUNIT_ASSERT(sent < maxSentBytes);
     }
 
-    void endlessLineOfAnEngineIsCutOff()
+    void endlessLineOfAnEngineIsAborted()
     {
         std::size_t sent = 0;
         const auto finished =
-            runHostile(PoolKind::Engine, {okHead + "data: ", std::string(64u << 10, 'x'), 100'000}, &sent);
+            runAgainstScript(PoolKind::Engine, {streamHead + "data: ", std::string(64u << 10, 'x'), 100'000}, &sent);
         CPPUNIT_ASSERT(finished.result == EndpointResult::Failed);
         CPPUNIT_ASSERT(finished.reason == Reason::AnswerTooLarge);
-        CPPUNIT_ASSERT(sent < maxTakenBytes);
+        CPPUNIT_ASSERT(sent < maxSentBytes);
     }
 
-    void endlessTokensOfAnEngineAreCutOff()
+    void endlessTokensOfAnEngineAreAborted()
     {
         const std::string empty =
             "event: token\ndata: {\"offset\":0,\"tokens\":0,\"text\":\"" + std::string(1000, 'x') + "\"}\n\n";
-        const auto finished = runHostile(PoolKind::Engine, {okHead, empty, 100'000});
+        const auto finished = runAgainstScript(PoolKind::Engine, {streamHead, empty, 100'000});
         CPPUNIT_ASSERT(finished.result == EndpointResult::Failed);
         CPPUNIT_ASSERT(finished.reason == Reason::AnswerTooLarge);
     }
 
-    void brokenStreamIsResumedWithoutLossOrRepeat()
+    void brokenStreamIsResumedWithoutLossOrDuplication()
     {
-        // The engine closes its stream without an end after three events; the run goes on within it.
+        // The engine closes the stream after three events and continues the run.
         standin::EngineOptions options;
         options.breakAfterEvents = 3;
-        Host host{options};
-        Bench &bench = host.bench();
-        CPPUNIT_ASSERT(bench.run(Bench::startOf(12, Serial{7})).result == EndpointResult::Completed);
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{12}, bench.tokens());
+        EngineFixture engine{options};
+        AdapterFixture &fixture = engine.fixture();
+        CPPUNIT_ASSERT(fixture.run(AdapterFixture::makeStart(12, Serial{7})).result == EndpointResult::Completed);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{12}, fixture.tokens());
         CPPUNIT_ASSERT_EQUAL(std::string{"00000000000000010000000000000002 w1 w2 w3 w4 w5 w6 w7 w8 w9 w10 w11"},
-                             bench.text());
+                             fixture.text());
     }
 
-    void gapInTheTokensFails()
+    void missingTokensFailTheRun()
     {
-        const std::string stream =
-            okHead + "event: token\ndata: {\"offset\":5,\"tokens\":1,\"text\":\"a\"}\n\n" + "event: done\ndata: {}\n\n";
-        CPPUNIT_ASSERT(runHostile(PoolKind::Engine, {stream, "", 0}).result == EndpointResult::Failed);
+        const std::string stream = streamHead + "event: token\ndata: {\"offset\":5,\"tokens\":1,\"text\":\"a\"}\n\n"
+            + "event: done\ndata: {}\n\n";
+        CPPUNIT_ASSERT(runAgainstScript(PoolKind::Engine, {stream, "", 0}).result == EndpointResult::Failed);
     }
 
-    void cancelledRunIsSilent()
+    void cancelledRunReportsNothing()
     {
-        Host host{{}};
-        Bench &bench = host.bench();
-        const EndpointStart start = Bench::startOf(8);
-        bench.adapter().start(start);
-        bench.pass(2);
-        bench.adapter().cancel(start.run.run);
-        bench.pass(60);
-        CPPUNIT_ASSERT(!bench.finished());
+        EngineFixture engine{{}};
+        AdapterFixture &fixture = engine.fixture();
+        const EndpointStart start = AdapterFixture::makeStart(8);
+        fixture.adapter().start(start);
+        fixture.runLoop(2);
+        fixture.adapter().cancel(start.run.run);
+        fixture.runLoop(60);
+        CPPUNIT_ASSERT(!fixture.finished());
     }
 
     void orderWithOldFenceIsRefused()
     {
-        Host host{{}};
-        Bench &bench = host.bench();
+        EngineFixture engine{{}};
+        AdapterFixture &fixture = engine.fixture();
         for (const std::uint64_t fence : {5U, 4U}) {
-            bench.adapter().order(GiveOrder{fence, OrderKind::LoadModel, ModelName{"a"}, {}, {}});
-            for (int round = 0; bench.orders().size() < 6 - fence && round < 1000; ++round) {
-                bench.pass(1);
+            fixture.adapter().order(GiveOrder{fence, OrderKind::LoadModel, ModelName{"a"}, {}, {}});
+            for (int round = 0; fixture.orders().size() < 6 - fence && round < 1000; ++round) {
+                fixture.runLoop(1);
             }
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, bench.orders().size());
-        CPPUNIT_ASSERT(bench.orders()[0].accepted);
-        CPPUNIT_ASSERT(!bench.orders()[1].accepted);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.orders().size());
+        CPPUNIT_ASSERT(fixture.orders()[0].accepted);
+        CPPUNIT_ASSERT(!fixture.orders()[1].accepted);
     }
 
 private:
-    /*! @brief An engine in a thread of its own with a bench that talks to it. */
-    class Host
+    /*! @brief A stand-in engine on its own thread, with an adapter that calls it. */
+    class EngineFixture
     {
     public:
-        explicit Host(const standin::EngineOptions &options)
-            : m_served{m_loop, std::make_unique<standin::EngineStandIn>(m_loop, options)}
+        explicit EngineFixture(const standin::EngineOptions &options)
+            : m_server{m_loop, std::make_unique<standin::EngineStandIn>(m_loop, options)}
             , m_thread{[this] {
                 m_loop.run();
             }}
-            , m_bench{m_served.address(), PoolKind::Engine}
+            , m_fixture{m_server.address(), PoolKind::Engine}
         {
         }
 
-        Host(const Host &) = delete;
-        Host &operator=(const Host &) = delete;
+        EngineFixture(const EngineFixture &) = delete;
+        EngineFixture &operator=(const EngineFixture &) = delete;
 
-        ~Host()
+        ~EngineFixture()
         {
             m_loop.stop();
             m_thread.join();
         }
 
-        Bench &bench()
+        AdapterFixture &fixture()
         {
-            return m_bench;
+            return m_fixture;
         }
 
     private:
         SystemClock m_clock;
         Loop m_loop{m_clock};
-        Served m_served;
+        StandInServer m_server;
         std::thread m_thread;
-        Bench m_bench;
+        AdapterFixture m_fixture;
     };
 };
 
