--- a/src/bergamottide/side/attemptfence.cpp
+++ b/src/bergamottide/side/attemptfence.cpp
@@ -9,20 +9,20 @@
 {
 }
 
-bool AttemptFence::pass(const RunId &run, TimePoint until)
+bool AttemptFence::admit(const RunId &run, TimePoint expiry)
 {
     const StageKey key{run.request, run.stage};
-    const auto [found, added] = m_marks.try_emplace(key);
-    Mark &mark = found->second;
-    if (!added && run.attempt <= mark.highest) {
+    const auto [found, added] = m_records.try_emplace(key);
+    Record &record = found->second;
+    if (!added && run.attempt <= record.highestAttempt) {
         return false;
     }
-    m_expiries.erase({mark.until, key});
-    mark.highest = run.attempt;
-    mark.until = std::max(mark.until, until);
-    m_expiries.emplace(mark.until, key);
-    if (m_marks.size() > m_limit) {
-        forgetEarliest();
+    m_expiries.erase({record.expiry, key});
+    record.highestAttempt = run.attempt;
+    record.expiry = std::max(record.expiry, expiry);
+    m_expiries.emplace(record.expiry, key);
+    if (m_records.size() > m_limit) {
+        evictEarliest();
     }
     return true;
 }
@@ -30,18 +30,18 @@
 void AttemptFence::expire(TimePoint now)
 {
     while (!m_expiries.empty() && m_expiries.begin()->first < now) {
-        forgetEarliest();
+        evictEarliest();
     }
 }
 
 std::size_t AttemptFence::size() const noexcept
 {
-    return m_marks.size();
+    return m_records.size();
 }
 
-void AttemptFence::forgetEarliest()
+void AttemptFence::evictEarliest()
 {
-    m_marks.erase(m_expiries.begin()->second);
+    m_records.erase(m_expiries.begin()->second);
     m_expiries.erase(m_expiries.begin());
 }
 
--- a/src/bergamottide/side/attemptfence.h
+++ b/src/bergamottide/side/attemptfence.h
@@ -11,50 +11,48 @@
 namespace bergamottide {
 
 /**
- * @brief Remembers which attempts at a stage have been seen, so that a late or repeated start does nothing.
+ * @brief Rejects duplicate and outdated attempts at a stage of a request.
  *
- * Only repeatable runs depend on it; runs that must not be repeated have the ledger. An
- * attempt passes once: neither it nor a lower one passes again while it is remembered,
- * that is until its deadline and the retention of results have passed. Memory is bounded:
- * beyond the limit the one that expires first is forgotten, which at worst repeats a run
- * that may be repeated.
+ * Used for repeatable runs only; at-most-once runs rely on the ledger. For each stage the
+ * highest attempt is stored until it expires. Above the size limit the record that expires
+ * first is evicted; the worst case is a second execution of a repeatable run.
  */
 class AttemptFence
 {
 public:
     /**
      * @brief Creates an empty fence.
-     * @param limit Stages of requests remembered at most.
+     * @param limit Maximum number of stages stored; zero counts as one.
      */
     explicit AttemptFence(std::size_t limit);
 
     /**
-     * @brief Lets an attempt pass, or fences it.
+     * @brief Admits an attempt if it is higher than the highest one stored for its stage.
      * @param run Attempt.
-     * @param until Time until which it is remembered at least.
-     * @return True the first time, if no higher attempt is remembered.
+     * @param expiry Earliest time at which the record may expire.
+     * @return True if the attempt is admitted; false if this or a higher attempt is stored.
      */
-    [[nodiscard]] bool pass(const RunId &run, TimePoint until);
+    [[nodiscard]] bool admit(const RunId &run, TimePoint expiry);
 
-    /*! @brief Forgets what has expired. */
+    /*! @brief Removes the expired records. */
     void expire(TimePoint now);
 
-    /*! @brief Returns the number of stages remembered. */
+    /*! @brief Returns the number of stages stored. */
     [[nodiscard]] std::size_t size() const noexcept;
 
 private:
     using StageKey = std::pair<RequestId, std::uint32_t>;
 
-    struct Mark
+    struct Record
     {
-        std::uint32_t highest{};
-        TimePoint until;
+        std::uint32_t highestAttempt{};
+        TimePoint expiry;
     };
 
-    void forgetEarliest();
+    void evictEarliest();
 
     std::size_t m_limit;
-    std::map<StageKey, Mark> m_marks;
+    std::map<StageKey, Record> m_records;
     std::set<std::pair<TimePoint, StageKey>> m_expiries;
 };
 
--- a/src/bergamottide/side/drain.cpp
+++ b/src/bergamottide/side/drain.cpp
@@ -2,7 +2,7 @@
 
 namespace bergamottide {
 
-Drain::Drain(SideContext &context, RunTable &runs, const Ledger &ledger)
+Drain::Drain(SidecarContext &context, RunTable &runs, const Ledger &ledger)
     : m_context{context}
     , m_runs{runs}
     , m_ledger{ledger}
@@ -14,56 +14,57 @@
     if (!m_requestedAt) {
         m_requestedAt = m_context.now;
     }
-    update(cause);
+    updateState(cause);
 }
 
-void Drain::onView()
+void Drain::onViewChanged()
 {
     const auto found = m_context.view->instances.find(m_context.identity.instance);
-    m_listedLeaving = found != m_context.view->instances.end() && found->second.leaving;
-    update("instance list");
+    m_leavingInList = found != m_context.view->instances.end() && found->second.leaving;
+    updateState("instance list");
 }
 
 void Drain::onTick()
 {
-    if (!m_requestedAt || m_completed || !finished()) {
+    if (!m_requestedAt || m_completed || !isFinished()) {
         return;
     }
     m_completed = true;
-    m_context.out.log(Severity::Info, Part::Side, "The drain is over.");
-    m_context.out.add(AuditRecord{AuditKind::DrainFinished, m_context.identity.instance.text(), "nothing left", ""});
-    m_context.out.add(DrainComplete{});
+    m_context.effects.log(Severity::Info, Part::Side, "Drain complete.");
+    m_context.effects.add(
+        AuditRecord{AuditKind::DrainFinished, m_context.identity.instance.text(), "nothing left", ""});
+    m_context.effects.add(DrainComplete{});
 }
 
-void Drain::update(const std::string &cause)
+void Drain::updateState(const std::string &cause)
 {
-    const bool draining = m_requestedAt.has_value() || m_listedLeaving;
+    const bool draining = m_requestedAt.has_value() || m_leavingInList;
     if (draining == m_context.draining) {
         return;
     }
     m_context.draining = draining;
-    // A sign heard right after a pause may have been given at any moment of it.
-    m_context.drainingSince = m_context.peers.paused() ? m_context.pausedSince : m_context.now;
-    const char *text = draining ? "The drain has started." : "The drain was called off.";
-    m_context.out.log(Severity::Info, Part::Side, text, {{"cause", cause}});
+    // After a pause the drain may have been signalled at any time since the pause began.
+    m_context.drainingSince = m_context.peers.awaitsConfirmation() ? m_context.pausedSince : m_context.now;
+    const char *text = draining ? "Drain started." : "Drain called off.";
+    m_context.effects.log(Severity::Info, Part::Side, text, {{"cause", cause}});
     const AuditKind kind = draining ? AuditKind::DrainStarted : AuditKind::Return;
-    m_context.out.add(AuditRecord{kind, m_context.identity.instance.text(), cause, ""});
+    m_context.effects.add(AuditRecord{kind, m_context.identity.instance.text(), cause, ""});
 }
 
-bool Drain::finished()
+bool Drain::isFinished()
 {
-    const Duration longest = m_context.policy.maxDeadline + m_context.policy.resultRetention;
-    if (*m_requestedAt + longest < m_context.now) {
-        m_context.out.log(Severity::Warning, Part::Side, "The drain has reached its limit with runs left.",
-                          {{"runs", std::to_string(m_runs.size())}});
+    const Duration maxDuration = m_context.policy.maxDeadline + m_context.policy.resultRetention;
+    if (*m_requestedAt + maxDuration < m_context.now) {
+        m_context.effects.log(Severity::Warning, Part::Side, "Drain timed out; unfinished runs are dropped.",
+                              {{"runs", std::to_string(m_runs.size())}});
         return true;
     }
     if (m_ledger.unfinished() > 0) {
         return false;
     }
-    bool clear = true;
-    m_runs.forEach([&clear](const Run &run) { clear = clear && !run.inProgress() && run.acknowledged(); });
-    return clear;
+    bool isIdle = true;
+    m_runs.forEach([&isIdle](const RunRecord &run) { isIdle = isIdle && !run.isInProgress() && run.isAcknowledged(); });
+    return isIdle;
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/side/drain.h
+++ b/src/bergamottide/side/drain.h
@@ -2,7 +2,7 @@
 
 #include "bergamottide/ledger/ledger.h"
 #include "bergamottide/side/runtable.h"
-#include "bergamottide/side/sidecontext.h"
+#include "bergamottide/side/sidecarcontext.h"
 
 #include <optional>
 #include <string>
@@ -10,41 +10,46 @@
 namespace bergamottide {
 
 /**
- * @brief Graceful stop of a side.
+ * @brief Graceful shutdown of a sidecar.
  *
- * From the first sign (the instance list or the process's own stop) it opens no record and
- * takes no repeatable run. It takes the runs of serials given out before for a short time
- * more, finishes what is queued or running, keeps results until they are fetched or have
- * expired, and then says that the process may exit. The longest deadline and the retention of results bound
- * all that; whatever is left then is logged and given up.
+ * A drain starts when the process is asked to stop or when the instance list marks this
+ * instance as leaving. While draining, the sidecar opens no ledger record and accepts no
+ * repeatable run; at-most-once runs with a serial issued earlier are still accepted for a
+ * short grace period. After a stop request the process exits once all runs have ended and
+ * their results are acknowledged or expired, at the latest after the maximum deadline plus
+ * the result retention. A drain caused by the instance list alone does not end the process
+ * and can be called off.
  */
 class Drain
 {
 public:
     /**
-     * @brief Takes what it works on.
-     * @param context Shared parts of the side.
-     * @param runs Runs of the side.
-     * @param ledger Ledger of the side.
+     * @brief Creates an inactive drain.
+     * @param context Shared state of the sidecar.
+     * @param runs Runs of the sidecar.
+     * @param ledger Ledger of the sidecar.
      */
-    Drain(SideContext &context, RunTable &runs, const Ledger &ledger);
+    Drain(SidecarContext &context, RunTable &runs, const Ledger &ledger);
 
-    /*! @brief Starts the stop of the process. */
+    /**
+     * @brief Handles a request to stop the process.
+     * @param cause Reason given in the log and in the audit trail.
+     */
     void onRequested(const std::string &cause);
-    /*! @brief Follows the mark of this instance in the instance list. */
-    void onView();
-    /*! @brief Says once that the process may exit, when it may. */
+    /*! @brief Starts or calls off the drain according to the current instance list. */
+    void onViewChanged();
+    /*! @brief Emits `DrainComplete` once, as soon as the process may exit. */
     void onTick();
 
 private:
-    void update(const std::string &cause);
-    [[nodiscard]] bool finished();
+    void updateState(const std::string &cause);
+    [[nodiscard]] bool isFinished();
 
-    SideContext &m_context;
+    SidecarContext &m_context;
     RunTable &m_runs;
     const Ledger &m_ledger;
     std::optional<TimePoint> m_requestedAt;
-    bool m_listedLeaving{};
+    bool m_leavingInList{};
     bool m_completed{};
 };
 
--- a/src/bergamottide/side/outbox.h
+++ b/src/bergamottide/side/effectbuffer.h
@@ -9,12 +9,12 @@
 namespace bergamottide {
 
 /*! @brief Collects the effects of one event, in order. */
-class Outbox
+class EffectBuffer
 {
 public:
     /**
      * @brief Adds an effect.
-     * @param effect Effect carried out after those added before.
+     * @param effect Effect; executed after those added earlier.
      */
     void add(SideEffect effect)
     {
@@ -22,8 +22,8 @@
     }
 
     /**
-     * @brief Sends a message.
-     * @param peer Process it goes to.
+     * @brief Adds a message to be sent.
+     * @param peer Recipient.
      * @param message Message.
      */
     void send(const InstanceName &peer, Message message)
@@ -32,11 +32,11 @@
     }
 
     /**
-     * @brief Writes a log line.
-     * @param severity How serious it is.
-     * @param part Part of the system it is about.
+     * @brief Adds a log line.
+     * @param severity Severity.
+     * @param part Component that logs.
      * @param text One short sentence.
-     * @param fields Named values that belong to it.
+     * @param fields Names and values of its fields.
      */
     void log(Severity severity, Part part, std::string text,
              std::vector<std::pair<std::string, std::string>> fields = {})
@@ -45,17 +45,17 @@
     }
 
     /**
-     * @brief Changes a metric.
+     * @brief Adds an observation of a metric.
      * @param metric Metric.
      * @param labels Values of its labels.
-     * @param value Step of a counter, value of a gauge, sample of a histogram.
+     * @param value Increment of a counter, value of a gauge, or sample of a histogram.
      */
     void observe(Metric metric, std::vector<std::string> labels, double value = 1.0)
     {
         add(Observe{metric, std::move(labels), value});
     }
 
-    /*! @brief Returns the effects and starts anew. */
+    /*! @brief Returns the collected effects and clears the buffer. */
     [[nodiscard]] SideEffects take()
     {
         return std::exchange(m_effects, {});
--- a/src/bergamottide/side/loadreporter.h
+++ b/src/bergamottide/side/loadreporter.h
@@ -8,41 +8,41 @@
 namespace bergamottide {
 
 /**
- * @brief Tells every connected process the load of this side, periodically.
+ * @brief Sends periodic load reports of this sidecar to every connected process.
  *
- * The period is that of the document while the availability zone is small. An entry hears
- * every side of its zone; so that it spends at most a few kilobytes a second on that, the
- * period grows with the number of sides there. A drain is told at once.
+ * The period is the report period of the document. In availability zones with many sidecars
+ * it grows with their number, which bounds the report traffic at each entry. A change of the
+ * draining state is reported at once.
  */
 class LoadReporter
 {
 public:
     /**
-     * @brief Takes what it works on.
-     * @param context Shared parts of the side.
-     * @param scheduler Scheduler of the runs.
+     * @brief Creates a reporter.
+     * @param context Shared state of the sidecar.
+     * @param scheduler Source of queue and concurrency figures.
      */
-    LoadReporter(SideContext &context, const RunScheduler &scheduler);
+    LoadReporter(SidecarContext &context, const RunScheduler &scheduler);
 
-    /*! @brief Takes over what the endpoint says about itself. */
+    /*! @brief Stores the loaded models of a report from the endpoint. */
     void onReport(const EndpointReport &event);
-    /*! @brief Reports to one process at once. */
+    /*! @brief Sends a report to one process at once. */
     void reportTo(const InstanceName &peer);
-    /*! @brief Reports to every connected process at once. */
+    /*! @brief Sends a report to every connected process at once. */
     void reportToAll();
-    /*! @brief Reports if the period is over, or if a drain has begun or ended. */
+    /*! @brief Sends reports if they are due or the draining state has changed. */
     void onTick();
-    /*! @brief Returns the time of the next report. */
-    [[nodiscard]] TimePoint next() const noexcept;
+    /*! @brief Returns the time of the next periodic report. */
+    [[nodiscard]] TimePoint nextReportAt() const noexcept;
 
 private:
     [[nodiscard]] LoadReport report() const;
     [[nodiscard]] Duration period() const;
 
-    SideContext &m_context;
+    SidecarContext &m_context;
     const RunScheduler &m_scheduler;
     std::vector<ModelName> m_models;
-    TimePoint m_next;
+    TimePoint m_nextReportAt;
     bool m_reportedDraining{};
 };
 
--- a/src/bergamottide/side/runscheduler.cpp
+++ b/src/bergamottide/side/runscheduler.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-/*! @brief Weight of the newest run in the share of failures: about the last twenty runs count. */
-constexpr double newestFailure = 0.05;
-/*! @brief Share of the concurrency up to which a run counts as nearly alone at the endpoint. */
-constexpr std::uint32_t lightShare = 4;
-/*! @brief Workspaces named in one report: those that wait longest; it keeps a report below a kilobyte. */
+/*! @brief Smoothing factor of the share of failed runs; about the last twenty runs count. */
+constexpr double failureSmoothing = 0.05;
+/*! @brief Runs count as uncontended up to the concurrency limit divided by this number. */
+constexpr std::uint32_t uncontendedDivisor = 4;
+/*! @brief Maximum number of workspaces in one load report, those with the longest wait; bounds its size. */
 constexpr std::size_t maxReportedWaits = 16;
 
-ServiceClass classOf(const StartRun &order)
+ServiceClass classOf(const StartRun &spec)
 {
-    return {order.pipeline, order.stage, order.model, order.kind};
+    return {spec.pipeline, spec.stage, spec.model, spec.kind};
 }
 
 } // namespace
 
-RunScheduler::RunScheduler(SideContext &context, RunTable &runs, Ledger &ledger, RunDelivery &delivery)
+RunScheduler::RunScheduler(SidecarContext &context, RunTable &runs, Ledger &ledger, ResultDelivery &delivery)
     : m_context{context}
     , m_runs{runs}
     , m_ledger{ledger}
@@ -40,14 +40,14 @@
     }
 }
 
-void RunScheduler::enqueue(Run &run)
+void RunScheduler::enqueue(RunRecord &run)
 {
-    const QueueItem item = queueItem(run);
+    const QueueItem item = makeQueueItem(run);
     if (item.latestStart() < m_context.now) {
         refuse(run, Reason::DeadlineUnreachable);
         return;
     }
-    if (m_delivery.full()) {
+    if (m_delivery.isMemoryFull()) {
         refuse(run, Reason::QueueFull);
         return;
     }
@@ -59,32 +59,32 @@
     if (!outcome.victim) {
         return;
     }
-    Run *victim = m_runs.find(outcome.victim->run);
-    if (victim != nullptr) {
-        refuse(*victim, Reason::QueueFull);
+    RunRecord *evicted = m_runs.find(outcome.victim->run);
+    if (evicted != nullptr) {
+        refuse(*evicted, Reason::QueueFull);
     }
 }
 
 void RunScheduler::dispatch()
 {
-    refuseDoomed();
+    refuseInfeasible();
     m_queue.setParallel(m_limit.current());
-    while (!m_context.peers.paused() && m_running.size() < m_limit.current()) {
+    while (!m_context.peers.awaitsConfirmation() && m_running.size() < m_limit.current()) {
         const std::optional<QueueItem> item = m_queue.pop(m_context.now);
         if (!item) {
             return;
         }
-        Run *run = m_runs.find(item->run);
+        RunRecord *run = m_runs.find(item->run);
         if (run != nullptr) {
-            start(*run);
+            startRun(*run);
         }
     }
 }
 
-void RunScheduler::refuseDoomed()
+void RunScheduler::refuseInfeasible()
 {
     for (const QueueItem &item : m_queue.takeDoomed(m_context.now)) {
-        Run *run = m_runs.find(item.run);
+        RunRecord *run = m_runs.find(item.run);
         if (run == nullptr) {
             continue;
         }
@@ -93,67 +93,67 @@
     }
 }
 
-void RunScheduler::refuse(Run &run, Reason reason)
+void RunScheduler::refuse(RunRecord &run, Reason reason)
 {
-    m_queue.erase(run.order.run);
-    if (run.once()) {
-        m_ledger.seal(run.order.serial, m_delivery.keptUntil());
+    m_queue.erase(run.spec.run);
+    if (run.isAtMostOnce()) {
+        m_ledger.seal(run.spec.serial, m_delivery.retentionEnd());
     }
-    m_context.out.observe(Metric::RefusalsTotal, {std::string{enumName(reason)}});
-    m_delivery.finish(run, {RunState::NotStarted, reason, refusalWait(run)});
+    m_context.effects.observe(Metric::RefusalsTotal, {std::string{enumName(reason)}});
+    m_delivery.finish(run, {RunState::NotStarted, reason, retryDelay(run)});
 }
 
-void RunScheduler::cancelRunning(Run &run, Reason reason)
+void RunScheduler::cancelRunning(RunRecord &run, Reason reason)
 {
-    m_context.out.add(EndpointCancel{run.order.run});
-    m_running.erase(run.order.run);
-    end(run, {RunState::Failed, reason});
+    m_context.effects.add(EndpointCancel{run.spec.run});
+    m_running.erase(run.spec.run);
+    endRun(run, {RunState::Failed, reason});
 }
 
 void RunScheduler::onPiece(const EndpointPiece &event)
 {
-    Run *run = m_runs.find(event.run);
+    RunRecord *run = m_runs.find(event.run);
     if (run == nullptr || run->state != RunState::Running) {
-        m_context.out.observe(Metric::DroppedMessagesTotal, {"endpoint_piece"});
+        m_context.effects.observe(Metric::DroppedMessagesTotal, {"endpoint_piece"});
         return;
     }
     if (run->result.size() + event.piece.size() <= m_context.policy.maxResultBytes) {
         m_delivery.append(*run, event.piece, event.tokens);
         return;
     }
-    // A hostile or broken endpoint costs its own run only.
-    m_context.out.add(EndpointCancel{event.run});
+    // Protects the sidecar's memory from a broken or hostile endpoint.
+    m_context.effects.add(EndpointCancel{event.run});
     onFinished({event.run, EndpointResult::Failed, Reason::AnswerTooLarge});
 }
 
 void RunScheduler::onFinished(const EndpointFinished &event)
 {
-    Run *run = m_runs.find(event.run);
+    RunRecord *run = m_runs.find(event.run);
     if (run == nullptr || run->state != RunState::Running) {
-        m_context.out.observe(Metric::DroppedMessagesTotal, {"endpoint_finished"});
+        m_context.effects.observe(Metric::DroppedMessagesTotal, {"endpoint_finished"});
         return;
     }
-    learn(*run, event.result, event.reason);
+    recordServiceTime(*run, event.result, event.reason);
     m_running.erase(event.run);
     switch (event.result) {
     case EndpointResult::Completed:
-        end(*run, {RunState::Completed, Reason::None});
+        endRun(*run, {RunState::Completed, Reason::None});
         return;
     case EndpointResult::Refused:
         if (run->result.empty()) {
-            end(*run, {RunState::NotStarted, event.reason, refusalWait(*run)});
+            endRun(*run, {RunState::NotStarted, event.reason, retryDelay(*run)});
             return;
         }
-        // It has sent pieces, so it did start, whatever it says.
-        end(*run, {run->once() ? RunState::Unknown : RunState::Failed, event.reason});
+        // The endpoint has sent pieces, so the run has started despite the refusal.
+        endRun(*run, {run->isAtMostOnce() ? RunState::Unknown : RunState::Failed, event.reason});
         return;
     case EndpointResult::Failed:
-        end(*run, {run->once() ? RunState::Unknown : RunState::Failed, event.reason});
+        endRun(*run, {run->isAtMostOnce() ? RunState::Unknown : RunState::Failed, event.reason});
         return;
     }
 }
 
-std::optional<TimePoint> RunScheduler::nextDoomed() const
+std::optional<TimePoint> RunScheduler::nextInfeasibleAt() const
 {
     return m_queue.nextDoomed();
 }
@@ -168,14 +168,14 @@
     return static_cast<std::uint32_t>(m_running.size());
 }
 
-void RunScheduler::describe(LoadReport &report) const
+void RunScheduler::fillLoadReport(LoadReport &report) const
 {
     report.queued = queued();
     report.running = running();
     report.concurrency = m_limit.current();
-    // A workspace that comes anew is next: it waits for one run to end, if all places are taken.
-    const bool full = running() >= report.concurrency;
-    report.wait = full ? m_times.mean() / report.concurrency : Duration{};
+    // A run of a workspace with an empty queue is next: it waits at most for one run to end.
+    const bool saturated = running() >= report.concurrency;
+    report.wait = saturated ? m_serviceTimes.mean() / report.concurrency : Duration{};
     auto waits = m_queue.waits();
     std::stable_sort(waits.begin(), waits.end(),
                      [](const auto &left, const auto &right) { return left.second > right.second; });
@@ -185,56 +185,56 @@
         }
         report.waits.push_back({std::move(workspace), wait});
     }
-    report.servicePerUnit = m_times.perUnit();
+    report.servicePerUnit = m_serviceTimes.perUnit();
     report.failureShare = m_failureShare;
 }
 
-QueueItem RunScheduler::queueItem(const Run &run) const
+QueueItem RunScheduler::makeQueueItem(const RunRecord &run) const
 {
-    const StartRun &order = run.order;
+    const StartRun &spec = run.spec;
     QueueItem item;
-    item.run = order.run;
-    item.workspace = order.workspace;
-    item.cost = m_times.estimate(classOf(order), order.size).value_or(order.cost);
-    item.following = order.following;
+    item.run = spec.run;
+    item.workspace = spec.workspace;
+    item.cost = m_serviceTimes.estimate(classOf(spec), spec.size).value_or(spec.cost);
+    item.following = spec.following;
     item.deadline = run.deadline;
-    item.value = order.value;
+    item.value = spec.value;
     return item;
 }
 
-Duration RunScheduler::refusalWait(const Run &run) const
+Duration RunScheduler::retryDelay(const RunRecord &run) const
 {
-    // What is queued now has to go first; never less than a report's age, after which more is known.
-    return std::max(m_queue.wait(run.order.workspace), m_context.policy.reportPeriod);
+    // At least the report period, after which the caller has newer load figures.
+    return std::max(m_queue.wait(run.spec.workspace), m_context.policy.reportPeriod);
 }
 
-void RunScheduler::start(Run &run)
+void RunScheduler::startRun(RunRecord &run)
 {
     run.state = RunState::Running;
     run.started = m_context.now;
-    if (run.once()) {
-        m_ledger.markRunning(run.order.serial);
+    if (run.isAtMostOnce()) {
+        m_ledger.markRunning(run.spec.serial);
     }
-    m_running.emplace(run.order.run, static_cast<std::uint32_t>(m_running.size()) + 1);
-    m_context.out.add(EndpointStart{run.order, m_context.pool});
-    m_delivery.signOfLife(run);
+    m_running.emplace(run.spec.run, static_cast<std::uint32_t>(m_running.size()) + 1);
+    m_context.effects.add(EndpointStart{run.spec, m_context.pool});
+    m_delivery.sendKeepAlives(run);
 }
 
-void RunScheduler::end(Run &run, const RunEnd &end)
+void RunScheduler::endRun(RunRecord &run, const RunOutcome &outcome)
 {
-    if (run.once()) {
-        const bool refused = end.state == RunState::NotStarted;
-        refused ? m_ledger.markRefused(run.order.serial, m_delivery.keptUntil())
-                : m_ledger.markFinished(run.order.serial, m_delivery.keptUntil());
+    if (run.isAtMostOnce()) {
+        const bool refused = outcome.state == RunState::NotStarted;
+        refused ? m_ledger.markRefused(run.spec.serial, m_delivery.retentionEnd())
+                : m_ledger.markFinished(run.spec.serial, m_delivery.retentionEnd());
     }
-    m_delivery.finish(run, end);
-    account(run);
+    m_delivery.finish(run, outcome);
+    recordStageMetrics(run);
 }
 
-void RunScheduler::learn(const Run &run, EndpointResult result, Reason reason)
+void RunScheduler::recordServiceTime(const RunRecord &run, EndpointResult result, Reason reason)
 {
     const bool failed = result != EndpointResult::Completed;
-    m_failureShare += newestFailure * ((failed ? 1.0 : 0.0) - m_failureShare);
+    m_failureShare += failureSmoothing * ((failed ? 1.0 : 0.0) - m_failureShare);
     if (result == EndpointResult::Refused || reason == Reason::Overloaded) {
         m_limit.overloaded();
     }
@@ -242,25 +242,26 @@
         return;
     }
     const Duration service = m_context.now - *run.started;
-    const ServiceClass work = classOf(run.order);
-    const std::uint32_t together = m_running.at(run.order.run);
-    m_times.learn(work, run.order.size, service);
-    if (together <= std::max(m_limit.current() / lightShare, 1U)) {
-        m_lightTimes.learn(work, run.order.size, service);
+    const ServiceClass work = classOf(run.spec);
+    const std::uint32_t concurrentRuns = m_running.at(run.spec.run);
+    m_serviceTimes.learn(work, run.spec.size, service);
+    if (concurrentRuns <= std::max(m_limit.current() / uncontendedDivisor, 1U)) {
+        m_uncontendedTimes.learn(work, run.spec.size, service);
     }
-    const std::optional<Duration> alone = m_lightTimes.estimate(work, run.order.size);
-    const auto base = static_cast<double>(alone ? std::max(alone->count(), Duration::rep{1}) : service.count());
-    m_limit.completed(base > 0.0 ? static_cast<double>(service.count()) / base : 1.0, together);
+    const std::optional<Duration> uncontended = m_uncontendedTimes.estimate(work, run.spec.size);
+    const auto base =
+        static_cast<double>(uncontended ? std::max(uncontended->count(), Duration::rep{1}) : service.count());
+    m_limit.completed(base > 0.0 ? static_cast<double>(service.count()) / base : 1.0, concurrentRuns);
 }
 
-void RunScheduler::account(const Run &run)
+void RunScheduler::recordStageMetrics(const RunRecord &run)
 {
     const double seconds = std::chrono::duration<double>(run.ended - *run.started).count();
     const bool useful = run.state == RunState::Completed && run.ended <= run.deadline;
-    m_context.out.observe(useful ? Metric::StageUsefulSecondsTotal : Metric::StageWastedSecondsTotal,
-                          {run.order.stage.text(), run.order.workspace.text()}, seconds);
+    m_context.effects.observe(useful ? Metric::StageUsefulSecondsTotal : Metric::StageWastedSecondsTotal,
+                              {run.spec.stage.text(), run.spec.workspace.text()}, seconds);
     const double waited = std::chrono::duration<double>(*run.started - run.arrived).count();
-    m_context.out.observe(Metric::StageWaitSeconds, {run.order.stage.text(), run.order.workspace.text()}, waited);
+    m_context.effects.observe(Metric::StageWaitSeconds, {run.spec.stage.text(), run.spec.workspace.text()}, waited);
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/side/runscheduler.h
+++ b/src/bergamottide/side/runscheduler.h
@@ -4,7 +4,7 @@
 #include "bergamottide/scheduling/concurrencylimit.h"
 #include "bergamottide/scheduling/fairqueue.h"
 #include "bergamottide/scheduling/servicetime.h"
-#include "bergamottide/side/rundelivery.h"
+#include "bergamottide/side/resultdelivery.h"
 
 #include <cstdint>
 #include <map>
@@ -14,89 +14,88 @@
 namespace bergamottide {
 
 /**
- * @brief Decides which run goes to the endpoint next, and which is refused.
+ * @brief Schedules the runs of one endpoint.
  *
- * Load it is made for: bursts and saturation at one endpoint. Runs wait in a fair queue
- * and are handed over within the adaptive concurrency limit. A run that cannot end within
- * its deadline, given the estimate of this and the following stages, is refused before it
- * costs anything; so is the run that the full queue gives up. A refused run that must not
- * be repeated is sealed in the ledger first, hence the refusal stays true whatever message
- * comes late.
+ * Runs wait in a fair queue and are started within an adaptive concurrency limit. A run
+ * that cannot meet its deadline, given the estimated time of this and the later stages, is
+ * refused before it starts, and so is a run evicted from the full queue. An at-most-once
+ * run is sealed in the ledger before it is refused, so that no late message can start it.
  */
 class RunScheduler
 {
 public:
     /**
-     * @brief Takes what it works on.
-     * @param context Shared parts of the side.
-     * @param runs Runs of the side.
-     * @param ledger Ledger of the side.
-     * @param delivery Delivery of results.
+     * @brief Creates a scheduler with an empty queue.
+     * @param context Shared state of the sidecar.
+     * @param runs Runs of the sidecar.
+     * @param ledger Ledger of the sidecar.
+     * @param delivery Delivers the results.
      */
-    RunScheduler(SideContext &context, RunTable &runs, Ledger &ledger, RunDelivery &delivery);
+    RunScheduler(SidecarContext &context, RunTable &runs, Ledger &ledger, ResultDelivery &delivery);
 
-    /*! @brief Takes over limits and weights of the document in force. */
+    /*! @brief Applies the limits and weights of the active document. */
     void configure();
 
     /**
-     * @brief Queues a run that is in the table, or refuses it.
-     * @param run Run whose state is queued; if it must not be repeated, the ledger has it queued too.
+     * @brief Queues a run, or refuses it.
+     * @param run Run of the table in state `Queued`; an at-most-once run is queued in the ledger as well.
      */
-    void enqueue(Run &run);
+    void enqueue(RunRecord &run);
 
-    /*! @brief Hands runs to the endpoint while it has room, unless the process has woken up from a pause. */
+    /*! @brief Starts queued runs up to the concurrency limit; starts none while a pause awaits confirmation. */
     void dispatch();
 
-    /*! @brief Refuses the queued runs that cannot end in time any more. */
-    void refuseDoomed();
+    /*! @brief Refuses the queued runs that can no longer meet their deadline. */
+    void refuseInfeasible();
 
     /**
-     * @brief Ends a run that is queued: it never starts.
+     * @brief Ends a run before it starts.
      * @param run Queued run.
-     * @param reason Why.
+     * @param reason Reason of the refusal.
      */
-    void refuse(Run &run, Reason reason);
+    void refuse(RunRecord &run, Reason reason);
 
     /**
      * @brief Cancels a repeatable run at the endpoint.
      * @param run Run at the endpoint.
-     * @param reason Why.
+     * @param reason Reason of the cancellation.
      */
-    void cancelRunning(Run &run, Reason reason);
+    void cancelRunning(RunRecord &run, Reason reason);
 
-    /*! @brief Handles a piece of a result. */
+    /*! @brief Appends a piece to the result of a run; cancels the run if its result becomes too large. */
     void onPiece(const EndpointPiece &event);
-    /*! @brief Handles the end of a call. */
+    /*! @brief Ends a run whose call to the endpoint has ended. */
     void onFinished(const EndpointFinished &event);
 
-    /*! @brief Returns the time at which `refuseDoomed` has something to do. */
-    [[nodiscard]] std::optional<TimePoint> nextDoomed() const;
-    /*! @brief Returns the number of runs queued. */
+    /*! @brief Returns the earliest time at which a queued run can no longer meet its deadline, if any. */
+    [[nodiscard]] std::optional<TimePoint> nextInfeasibleAt() const;
+    /*! @brief Returns the number of queued runs. */
     [[nodiscard]] std::uint32_t queued() const noexcept;
     /*! @brief Returns the number of runs at the endpoint. */
     [[nodiscard]] std::uint32_t running() const noexcept;
-    /*! @brief Fills in what a load report says about queue and endpoint. */
-    void describe(LoadReport &report) const;
+    /*! @brief Sets the fields of a load report about the queue and the endpoint. */
+    void fillLoadReport(LoadReport &report) const;
 
 private:
-    [[nodiscard]] QueueItem queueItem(const Run &run) const;
-    [[nodiscard]] Duration refusalWait(const Run &run) const;
-    void start(Run &run);
-    void end(Run &run, const RunEnd &end);
-    void learn(const Run &run, EndpointResult result, Reason reason);
-    void account(const Run &run);
+    [[nodiscard]] QueueItem makeQueueItem(const RunRecord &run) const;
+    [[nodiscard]] Duration retryDelay(const RunRecord &run) const;
+    void startRun(RunRecord &run);
+    void endRun(RunRecord &run, const RunOutcome &outcome);
+    void recordServiceTime(const RunRecord &run, EndpointResult result, Reason reason);
+    void recordStageMetrics(const RunRecord &run);
 
-    SideContext &m_context;
+    SidecarContext &m_context;
     RunTable &m_runs;
     Ledger &m_ledger;
-    RunDelivery &m_delivery;
+    ResultDelivery &m_delivery;
     FairQueue m_queue;
     ConcurrencyLimit m_limit;
-    ServiceTimes m_times;
-    /*! @brief Times of runs that the endpoint worked on nearly alone. */
-    ServiceTimes m_lightTimes;
-    /*! @brief Runs at the endpoint, with the number there when each started. */
+    ServiceTimes m_serviceTimes;
+    /*! @brief Service times of runs that started with few others at the endpoint. */
+    ServiceTimes m_uncontendedTimes;
+    /*! @brief Runs at the endpoint, each with the number of runs there when it started, itself included. */
     std::map<RunId, std::uint32_t> m_running;
+    /*! @brief Exponential moving average of the share of failed runs. */
     double m_failureShare{};
 };
 
--- a/src/bergamottide/side/runtable.cpp
+++ b/src/bergamottide/side/runtable.cpp
@@ -4,22 +4,22 @@
 
 namespace bergamottide {
 
-bool Run::acknowledged() const
+bool RunRecord::isAcknowledged() const
 {
-    return std::all_of(followers.begin(), followers.end(),
-                       [](const RunFollower &follower) { return follower.acknowledged; });
+    return std::all_of(subscribers.begin(), subscribers.end(),
+                       [](const RunSubscriber &subscriber) { return subscriber.acknowledged; });
 }
 
-Run *RunTable::find(const RunId &run)
+RunRecord *RunTable::find(const RunId &run)
 {
     const auto found = m_runs.find(run);
     return found == m_runs.end() ? nullptr : &found->second;
 }
 
-Run &RunTable::insert(Run run)
+RunRecord &RunTable::insert(RunRecord run)
 {
-    const RunId id = run.order.run;
-    Run &added = m_runs.emplace(id, std::move(run)).first->second;
+    const RunId id = run.spec.run;
+    RunRecord &added = m_runs.emplace(id, std::move(run)).first->second;
     m_due.emplace(added.due, id);
     return added;
 }
@@ -34,14 +34,14 @@
     m_runs.erase(found);
 }
 
-void RunTable::schedule(Run &run, TimePoint due)
+void RunTable::schedule(RunRecord &run, TimePoint due)
 {
-    m_due.erase({run.due, run.order.run});
+    m_due.erase({run.due, run.spec.run});
     run.due = due;
-    m_due.emplace(due, run.order.run);
+    m_due.emplace(due, run.spec.run);
 }
 
-std::vector<RunId> RunTable::due(TimePoint now) const
+std::vector<RunId> RunTable::dueRuns(TimePoint now) const
 {
     std::vector<RunId> runs;
     for (const auto &[time, run] : m_due) {
@@ -61,13 +61,13 @@
     return m_due.begin()->first;
 }
 
-std::vector<RunId> RunTable::lowerInProgress(const RunId &run) const
+std::vector<RunId> RunTable::lowerAttemptsInProgress(const RunId &run) const
 {
     std::vector<RunId> lower;
     const auto begin = m_runs.lower_bound(RunId{run.request, run.stage, 0});
     const auto end = m_runs.lower_bound(run);
     for (auto entry = begin; entry != end; ++entry) {
-        if (!entry->second.inProgress()) {
+        if (!entry->second.isInProgress()) {
             continue;
         }
         lower.push_back(entry->first);
@@ -75,7 +75,7 @@
     return lower;
 }
 
-void RunTable::forEach(const std::function<void(Run &)> &visit)
+void RunTable::forEach(const std::function<void(RunRecord &)> &visit)
 {
     for (auto &[id, run] : m_runs) {
         visit(run);
--- a/src/bergamottide/side/runtable.h
+++ b/src/bergamottide/side/runtable.h
@@ -14,102 +14,103 @@
 
 namespace bergamottide {
 
-/*! @brief A process that follows a run and gets its result. */
-struct RunFollower
+/*! @brief A process that receives the result of a run. */
+struct RunSubscriber
 {
     InstanceName peer;
-    /*! @brief It has confirmed that the result arrived whole. */
+    /*! @brief It has acknowledged the whole result. */
     bool acknowledged{};
 };
 
-/*! @brief One run at a side, from its arrival until its result is fetched or has expired. */
-struct Run
+/*! @brief One run at a sidecar, from its arrival until its result is acknowledged or has expired. */
+struct RunRecord
 {
-    StartRun order;
+    /*! @brief Message that started it; the bodies are released when it ends. */
+    StartRun spec;
     RunState state{RunState::Queued};
     Reason reason{};
     Duration retryAfter{};
     TimePoint arrived;
     TimePoint deadline;
-    /*! @brief Time at which it was handed to the endpoint, if it was. */
+    /*! @brief Time of the start at the endpoint, if it was started. */
     std::optional<TimePoint> started;
     TimePoint ended;
-    /*! @brief Result as far as it has come. */
+    /*! @brief Result received so far. */
     std::string result;
     std::uint32_t tokens{};
-    /*! @brief Digest of the result, once the run has ended. */
+    /*! @brief XXH3 digest (64 bits) of the result; set when the run ends. */
     std::uint64_t digest{};
-    std::vector<RunFollower> followers;
-    /*! @brief Since when no follower has been connected, if so. */
+    std::vector<RunSubscriber> subscribers;
+    /*! @brief Time since which no subscriber has been connected; absent while one is. */
     std::optional<TimePoint> abandonedAt;
-    /*! @brief Time of the next sign of life, repetition or removal. */
+    /*! @brief Time of the next keep-alive, resend or removal. */
     TimePoint due;
-    /*! @brief Time between the last two repetitions of the end. */
+    /*! @brief Interval before the next resend of the end. */
     Duration backoff{};
 
-    /*! @brief Tells if the run must not be repeated. */
-    [[nodiscard]] bool once() const noexcept
+    /*! @brief Returns whether the run must not be repeated. */
+    [[nodiscard]] bool isAtMostOnce() const noexcept
     {
-        return order.serial != noSerial;
+        return spec.serial != noSerial;
     }
 
-    /*! @brief Tells if the run is queued or at the endpoint. */
-    [[nodiscard]] bool inProgress() const noexcept
+    /*! @brief Returns whether the run is queued or at the endpoint. */
+    [[nodiscard]] bool isInProgress() const noexcept
     {
         return state == RunState::Queued || state == RunState::Running;
     }
 
-    /*! @brief Tells if every follower has the whole result. */
-    [[nodiscard]] bool acknowledged() const;
+    /*! @brief Returns whether every subscriber has acknowledged the result. */
+    [[nodiscard]] bool isAcknowledged() const;
 };
 
-/*! @brief All runs of a side, with the time at which each needs care next. */
+/*! @brief All runs of a sidecar, ordered by identity and by due time. */
 class RunTable
 {
 public:
-    /*! @brief Returns a run, or null. */
-    [[nodiscard]] Run *find(const RunId &run);
+    /*! @brief Returns a run, or null if it is not in the table. */
+    [[nodiscard]] RunRecord *find(const RunId &run);
 
     /**
      * @brief Adds a run.
      * @param run Run whose identity is not in the table.
-     * @return The run in the table; it stays where it is until it is removed.
+     * @return The run in the table; the reference stays valid until the run is removed.
      */
-    Run &insert(Run run);
+    RunRecord &insert(RunRecord run);
 
-    /*! @brief Removes a run; nothing happens if it is not in the table. */
+    /*! @brief Removes a run; a run that is not in the table is ignored. */
     void erase(const RunId &run);
 
     /**
-     * @brief Sets the time at which a run needs care next.
+     * @brief Sets the due time of a run.
      * @param run Run of this table.
-     * @param due Time.
+     * @param due Time of its next keep-alive, resend or removal.
      */
-    void schedule(Run &run, TimePoint due);
+    void schedule(RunRecord &run, TimePoint due);
 
     /**
-     * @brief Returns the runs whose time has come, earliest first.
-     * @param now Present time.
+     * @brief Returns the runs that are due, earliest first.
+     * @param now Current time.
      */
-    [[nodiscard]] std::vector<RunId> due(TimePoint now) const;
+    [[nodiscard]] std::vector<RunId> dueRuns(TimePoint now) const;
 
-    /*! @brief Returns the earliest time at which a run needs care. */
+    /*! @brief Returns the earliest due time, if there are runs. */
     [[nodiscard]] std::optional<TimePoint> nextDue() const;
 
     /**
-     * @brief Returns the attempts at a stage of a request that are in progress and lower than a given one.
-     * @param run Attempt that fences the lower ones.
+     * @brief Returns the lower attempts at the same stage of the same request that are in progress.
+     * @param run Attempt to compare with.
      */
-    [[nodiscard]] std::vector<RunId> lowerInProgress(const RunId &run) const;
+    [[nodiscard]] std::vector<RunId> lowerAttemptsInProgress(const RunId &run) const;
 
-    /*! @brief Calls a function for every run, in the order of their identities. */
-    void forEach(const std::function<void(Run &)> &visit);
+    /*! @brief Calls a function for every run, ordered by identity. */
+    void forEach(const std::function<void(RunRecord &)> &visit);
 
     /*! @brief Returns the number of runs. */
     [[nodiscard]] std::size_t size() const noexcept;
 
 private:
-    std::map<RunId, Run> m_runs;
+    std::map<RunId, RunRecord> m_runs;
     std::set<std::pair<TimePoint, RunId>> m_due;
 };
 
--- a/src/bergamottide/side/sidereducer.cpp
+++ b/src/bergamottide/side/sidereducer.cpp
@@ -3,7 +3,7 @@
 #include "bergamottide/orders/orderplanner.h"
 #include "bergamottide/side/drain.h"
 #include "bergamottide/side/loadreporter.h"
-#include "bergamottide/side/runreception.h"
+#include "bergamottide/side/runmessagehandler.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,15 +11,15 @@
 
 namespace bergamottide {
 
-/*! @brief Parts of a side, wired together. */
+/*! @brief Components of a sidecar. */
 struct SideReducer::State
 {
     explicit State(SideIdentity identity)
         : context{std::move(identity)}
         , delivery{context, runs}
         , scheduler{context, runs, ledger, delivery}
-        , home{context, runs, ledger, delivery, scheduler}
-        , reception{context, runs, delivery, scheduler, home}
+        , atMostOnce{context, runs, ledger, delivery, scheduler}
+        , runMessages{context, runs, delivery, scheduler, atMostOnce}
         , reporter{context, scheduler}
         , drain{context, runs, ledger}
         , orders{context.identity.instance, context.identity.seed}
@@ -29,9 +29,9 @@
     void detectPause();
     void pingUnconfirmed();
     void planOrders();
-    void giveOrder();
+    void sendNextOrder();
     void finishEvent();
-    [[nodiscard]] TimePoint dueTime() const;
+    [[nodiscard]] TimePoint nextTickAt() const;
 
     void on(const PeerMessage &event);
     void on(const PeerUp &event);
@@ -56,24 +56,24 @@
     void onMessage(const InstanceName &from, const Pong &message);
     void onMessage(const InstanceName &from, const Hello &message);
 
-    /*! @brief Messages that a side has no use for; the tree of configuration is served elsewhere. */
+    /*! @brief Drops messages that a sidecar does not handle; configuration messages never reach the reducer. */
     template <typename Other>
     void onMessage(const InstanceName &, const Other &)
     {
-        context.out.observe(Metric::DroppedMessagesTotal, {"unexpected"});
+        context.effects.observe(Metric::DroppedMessagesTotal, {"unexpected"});
     }
 
-    SideContext context;
+    SidecarContext context;
     RunTable runs;
     Ledger ledger;
-    RunDelivery delivery;
+    ResultDelivery delivery;
     RunScheduler scheduler;
-    RequestHome home;
-    RunReception reception;
+    AtMostOnceHandler atMostOnce;
+    RunMessageHandler runMessages;
     LoadReporter reporter;
     Drain drain;
     OrderPlanner orders;
-    /*! @brief Time at which a tick was asked for after the last event. */
+    /*! @brief Time of the next requested tick. */
     std::optional<TimePoint> wakeup;
 };
 
@@ -90,7 +90,7 @@
     m_state->detectPause();
     std::visit([this](const auto &alternative) { m_state->on(alternative); }, event);
     m_state->finishEvent();
-    return m_state->context.out.take();
+    return m_state->context.effects.take();
 }
 
 std::optional<TimePoint> SideReducer::nextWakeup() const
@@ -108,19 +108,20 @@
     if (!wakeup || context.now <= *wakeup + context.policy.pauseGap) {
         return;
     }
-    context.peers.wakeUp();
+    context.peers.onResumed();
     orders.forgetReading(context.now);
     context.pausedSince = *wakeup;
-    context.out.log(Severity::Warning, Part::Side, "The process was paused; it starts nothing until a peer confirms.",
-                    {{"gap_us", std::to_string((context.now - *wakeup).count())}});
+    context.effects.log(Severity::Warning, Part::Side,
+                        "Process resumed after a pause; no run starts until a peer answers a ping.",
+                        {{"gap_us", std::to_string((context.now - *wakeup).count())}});
     pingUnconfirmed();
 }
 
 void SideReducer::State::pingUnconfirmed()
 {
-    for (const InstanceName &peer : context.peers.all()) {
-        if (!context.peers.fresh(peer)) {
-            context.out.send(peer, Ping{context.peers.wake()});
+    for (const InstanceName &peer : context.peers.connectedPeers()) {
+        if (!context.peers.isFresh(peer)) {
+            context.effects.send(peer, Ping{context.peers.epoch()});
         }
     }
 }
@@ -132,10 +133,10 @@
     }
 }
 
-void SideReducer::State::giveOrder()
+void SideReducer::State::sendNextOrder()
 {
-    // A side that leaves or has just woken up may not be the only giver any more.
-    if (context.draining || context.peers.paused() || context.pool.kind != PoolKind::Engine) {
+    // After a pause, or while draining, another process may already control the engine.
+    if (context.draining || context.peers.awaitsConfirmation() || context.pool.kind != PoolKind::Engine) {
         return;
     }
     const std::optional<GiveOrder> order = orders.next(context.now);
@@ -143,30 +144,30 @@
         return;
     }
     const std::string kind{enumName(order->kind)};
-    context.out.add(*order);
-    context.out.observe(Metric::OrdersTotal, {kind});
-    context.out.log(Severity::Info, Part::Orders, "An order goes to the engine.",
-                    {{"kind", kind}, {"model", order->model.text()}, {"fence", std::to_string(order->fence)}});
-    context.out.add(AuditRecord{AuditKind::Order, order->model.text(), "engine differs from document",
-                                kind + " fence " + std::to_string(order->fence)});
+    context.effects.add(*order);
+    context.effects.observe(Metric::OrdersTotal, {kind});
+    context.effects.log(Severity::Info, Part::Orders, "Sending an order to the engine.",
+                        {{"kind", kind}, {"model", order->model.text()}, {"fence", std::to_string(order->fence)}});
+    context.effects.add(AuditRecord{AuditKind::Order, order->model.text(), "engine differs from document",
+                                    kind + " fence " + std::to_string(order->fence)});
 }
 
 void SideReducer::State::finishEvent()
 {
     scheduler.dispatch();
-    giveOrder();
+    sendNextOrder();
     reporter.onTick();
     drain.onTick();
-    wakeup = dueTime();
+    wakeup = nextTickAt();
 }
 
-TimePoint SideReducer::State::dueTime() const
+TimePoint SideReducer::State::nextTickAt() const
 {
-    TimePoint due = reporter.next();
-    for (const std::optional<TimePoint> &next : {runs.nextDue(), scheduler.nextDoomed(), ledger.nextExpiry()}) {
+    TimePoint due = reporter.nextReportAt();
+    for (const std::optional<TimePoint> &next : {runs.nextDue(), scheduler.nextInfeasibleAt(), ledger.nextExpiry()}) {
         due = next ? std::min(due, *next) : due;
     }
-    // Strictly later than now: what expires at a time is over only after it.
+    // Strictly later than now: deadlines are inclusive.
     return std::max(due, context.now) + Duration{1};
 }
 
@@ -179,10 +180,10 @@
 {
     context.peers.connect(event.peer);
     const std::uint64_t version = context.document ? context.document->version : 0;
-    context.out.send(event.peer, Hello{context.identity.instance, context.identity.incarnation, version});
+    context.effects.send(event.peer, Hello{context.identity.instance, context.identity.incarnation, version});
     reporter.reportTo(event.peer);
-    if (!context.peers.fresh(event.peer)) {
-        context.out.send(event.peer, Ping{context.peers.wake()});
+    if (!context.peers.isFresh(event.peer)) {
+        context.effects.send(event.peer, Ping{context.peers.epoch()});
     }
 }
 
@@ -233,8 +234,8 @@
         return;
     }
     context.view = event.view;
-    home.viewChanged();
-    drain.onView();
+    atMostOnce.onViewChanged();
+    drain.onViewChanged();
     planOrders();
 }
 
@@ -245,24 +246,24 @@
 
 void SideReducer::State::on(const Tick &)
 {
-    reception.onTick();
+    runMessages.onTick();
     pingUnconfirmed();
-    context.out.observe(Metric::LedgerRecords, {}, static_cast<double>(ledger.size()));
+    context.effects.observe(Metric::LedgerRecords, {}, static_cast<double>(ledger.size()));
 }
 
 void SideReducer::State::onMessage(const InstanceName &from, const OpenRequest &message)
 {
-    home.onOpen(from, message);
+    atMostOnce.onOpen(from, message);
 }
 
 void SideReducer::State::onMessage(const InstanceName &from, const StartRun &message)
 {
-    reception.onStart(from, message);
+    runMessages.onStart(from, message);
 }
 
 void SideReducer::State::onMessage(const InstanceName &from, const CancelRun &message)
 {
-    reception.onCancel(from, message);
+    runMessages.onCancel(from, message);
 }
 
 void SideReducer::State::onMessage(const InstanceName &from, const RunAcknowledged &message)
@@ -272,28 +273,29 @@
 
 void SideReducer::State::onMessage(const InstanceName &from, const QueryRuns &message)
 {
-    reception.onQuery(from, message);
+    runMessages.onQuery(from, message);
 }
 
 void SideReducer::State::onMessage(const InstanceName &from, const AttachRequest &message)
 {
-    home.onAttach(from, message);
+    atMostOnce.onAttach(from, message);
 }
 
 void SideReducer::State::onMessage(const InstanceName &from, const SealRequest &message)
 {
-    home.onSeal(from, message);
+    atMostOnce.onSeal(from, message);
 }
 
 void SideReducer::State::onMessage(const InstanceName &from, const Ping &message)
 {
-    context.out.send(from, Pong{message.sequence});
+    context.effects.send(from, Pong{message.sequence});
 }
 
 void SideReducer::State::onMessage(const InstanceName &from, const Pong &message)
 {
     if (context.peers.confirm(from, message.sequence)) {
-        context.out.log(Severity::Info, Part::Side, "A peer has confirmed itself; runs start again.");
+        context.effects.log(Severity::Info, Part::Side,
+                            "A peer has answered a ping after the pause; runs start again.");
     }
 }
 
--- a/src/bergamottide/side/sidereducer.h
+++ b/src/bergamottide/side/sidereducer.h
@@ -8,7 +8,7 @@
 
 namespace bergamottide {
 
-/*! @brief Who a side is. */
+/*! @brief Identity of a sidecar process. */
 struct SideIdentity
 {
     InstanceName instance;
@@ -16,20 +16,21 @@
     ZoneName zone;
     PoolName pool;
     Incarnation incarnation{};
+    /*! @brief Seed of the jitter of engine orders. */
     std::uint64_t seed{};
 };
 
 /**
- * @brief All decisions of a side: one function from events to effects.
+ * @brief State machine of a sidecar: maps each event to effects.
  *
- * Knows no socket and no clock; time is passed in with every event.
+ * It performs no I/O and reads no clock; the time is passed in with every event.
  */
 class SideReducer
 {
 public:
     /**
-     * @brief Creates a side that refuses every run until it has a document.
-     * @param identity Who the side is.
+     * @brief Creates a sidecar that refuses every run until it has received a document.
+     * @param identity Identity of the sidecar.
      */
     explicit SideReducer(SideIdentity identity);
     SideReducer(const SideReducer &) = delete;
@@ -38,16 +39,16 @@
 
     /**
      * @brief Applies one event.
-     * @param event What has happened.
-     * @param now Time at which it is handled, never before that of an earlier call.
-     * @return What is to be done, in order.
+     * @param event Event.
+     * @param now Current time; never earlier than in a previous call.
+     * @return Effects in order of execution.
      */
     [[nodiscard]] SideEffects apply(const SideEvent &event, TimePoint now);
 
-    /*! @brief Returns the time at which a `Tick` is due, if any. */
+    /*! @brief Returns the time of the next `Tick`; absent before the first event. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
 
-    /*! @brief Returns the number of runs queued or at the endpoint. */
+    /*! @brief Returns the number of runs that are queued or at the endpoint. */
     [[nodiscard]] std::size_t inProgress() const noexcept;
 
 private:
--- a/test/bergamottide/side/atmostonce.cpp
+++ b/test/bergamottide/side/atmostonce.cpp
@@ -1,6 +1,6 @@
 #include "bergamottide/side/sidereducer.h"
 
-#include "sidefixture.h"
+#include "sidecarfixture.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -8,308 +8,308 @@
 using namespace bergamottide::test;
 using namespace std::chrono_literals;
 
-/*! @brief A run with a serial happens at most once, and what is said of it is true. */
+/*! @brief A run with a serial starts at most once, and its reported state is never wrong. */
 class AtMostOnceTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(AtMostOnceTest);
     CPPUNIT_TEST(repeatedStartRunsOnce);
-    CPPUNIT_TEST(secondDriverFollowsTheFirstRun);
-    CPPUNIT_TEST(startOfAnotherIncarnationIsRefused);
+    CPPUNIT_TEST(secondDriverSubscribesToTheFirstRun);
+    CPPUNIT_TEST(startWithOtherIncarnationIsRefused);
     CPPUNIT_TEST(startWithUnknownSerialIsRefused);
-    CPPUNIT_TEST(forgottenSerialIsUnknownNotRefused);
+    CPPUNIT_TEST(expiredSerialIsUnknown);
     CPPUNIT_TEST(refusedRunStaysRefused);
     CPPUNIT_TEST(sealedRequestNeverRuns);
-    CPPUNIT_TEST(sealTakesAQueuedRunBack);
-    CPPUNIT_TEST(sealOfARunningRequestTellsSo);
+    CPPUNIT_TEST(sealRemovesAQueuedRun);
+    CPPUNIT_TEST(sealOfARunningRequestReturnsItsState);
     CPPUNIT_TEST(openedRecordIsSealedAfterItsDeadline);
-    CPPUNIT_TEST(lostDriverDoesNotCutTheRunOff);
-    CPPUNIT_TEST(cancelDoesNotCutARunningRunOff);
-    CPPUNIT_TEST(resultOutlivesItsAcknowledgement);
-    CPPUNIT_TEST(attachedProcessHearsOfTheLaterStart);
-    CPPUNIT_TEST(lostDriverOfAnOpenedRequestSealsItForTheOneWhoWaits);
-    CPPUNIT_TEST(nextDriverTakesAnOpenedRequestOver);
-    CPPUNIT_TEST(endpointRefusalIsNotStartedAndFinal);
+    CPPUNIT_TEST(lostDriverDoesNotCancelTheRun);
+    CPPUNIT_TEST(cancelDoesNotStopARunningRun);
+    CPPUNIT_TEST(resultIsRetainedAfterAcknowledgement);
+    CPPUNIT_TEST(attachedProcessIsNotifiedOfALaterStart);
+    CPPUNIT_TEST(lostDriverSealsAnOpenedRequestWithWaitingPeer);
+    CPPUNIT_TEST(newDriverTakesOverAnOpenedRequest);
+    CPPUNIT_TEST(endpointRefusalIsFinal);
     CPPUNIT_TEST(endpointFailureIsUnknown);
     CPPUNIT_TEST(fullLedgerRefusesToOpen);
-    CPPUNIT_TEST(keyedOpenIsRefusedWhileWarming);
+    CPPUNIT_TEST(keyedOpenIsRefusedDuringWarmup);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void repeatedStartRunsOnce()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        const StartRun order = SideFixture::start(runId(1), serial);
-        fixture.receive(order);
-        fixture.receive(order);
-        fixture.complete(runId(1));
-        fixture.receive(order);
-        fixture.pass(10s);
-        fixture.receive(order, fixture.other);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.starts(runId(1)));
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).state == RunState::Completed);
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        const StartRun message = SidecarFixture::makeStartRun(runId(1), serial);
+        fixture.receive(message);
+        fixture.receive(message);
+        fixture.completeRun(runId(1));
+        fixture.receive(message);
+        fixture.advanceClock(10s);
+        fixture.receive(message, fixture.otherEntry);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.startCount(runId(1)));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::Completed);
     }
 
-    void secondDriverFollowsTheFirstRun()
+    void secondDriverSubscribesToTheFirstRun()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SideFixture::start(runId(1, 1), serial));
-        fixture.apply(PeerUp{fixture.other});
-        fixture.receive(SideFixture::start(runId(1, 2), serial), fixture.other);
-        const auto states = fixture.messages<RequestState>(fixture.other);
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1, 1), serial));
+        fixture.apply(PeerUp{fixture.otherEntry});
+        fixture.receive(SidecarFixture::makeStartRun(runId(1, 2), serial), fixture.otherEntry);
+        const auto states = fixture.messagesOf<RequestState>(fixture.otherEntry);
         CPPUNIT_ASSERT(states.size() == 1 && states[0].state == LedgerState::Running);
         CPPUNIT_ASSERT(states[0].run == runId(1, 1));
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1, 2)).state == RunState::Absent);
-        fixture.clear();
-        fixture.complete(runId(1, 1));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.messages<RunFinished>(fixture.other).size());
-        CPPUNIT_ASSERT(fixture.all<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1, 2)).state == RunState::Absent);
+        fixture.clearEffects();
+        fixture.completeRun(runId(1, 1));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.messagesOf<RunFinished>(fixture.otherEntry).size());
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
     }
 
-    void startOfAnotherIncarnationIsRefused()
+    void startWithOtherIncarnationIsRefused()
     {
-        SideFixture fixture;
-        StartRun order = SideFixture::start(runId(1), fixture.open(1));
-        order.incarnation = Incarnation{6};
-        fixture.receive(order);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).reason == Reason::WrongIncarnation);
-        CPPUNIT_ASSERT(fixture.all<EndpointStart>().empty());
+        SidecarFixture fixture;
+        StartRun message = SidecarFixture::makeStartRun(runId(1), fixture.openRequest(1));
+        message.incarnation = Incarnation{6};
+        fixture.receive(message);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).reason == Reason::WrongIncarnation);
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
     }
 
     void startWithUnknownSerialIsRefused()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SideFixture::start(runId(2), serial));
-        fixture.receive(SideFixture::start(runId(3), Serial{77}));
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(3)).state == RunState::NotStarted);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(3)).reason == Reason::UnknownTicket);
-        CPPUNIT_ASSERT(fixture.all<EndpointStart>().empty());
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SidecarFixture::makeStartRun(runId(2), serial));
+        fixture.receive(SidecarFixture::makeStartRun(runId(3), Serial{77}));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(3)).state == RunState::NotStarted);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(3)).reason == Reason::UnknownTicket);
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
     }
 
-    void forgottenSerialIsUnknownNotRefused()
+    void expiredSerialIsUnknown()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SideFixture::start(runId(1), serial));
-        fixture.complete(runId(1));
-        fixture.pass(120s);
-        fixture.clear();
-        fixture.receive(SideFixture::start(runId(1), serial));
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).state == RunState::Unknown);
-        CPPUNIT_ASSERT(fixture.all<EndpointStart>().empty());
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        fixture.completeRun(runId(1));
+        fixture.advanceClock(120s);
+        fixture.clearEffects();
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::Unknown);
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
     }
 
     void refusedRunStaysRefused()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        StartRun order = SideFixture::start(runId(1), serial);
-        order.following = 20s;
-        fixture.receive(order);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).state == RunState::NotStarted);
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        StartRun message = SidecarFixture::makeStartRun(runId(1), serial);
+        message.following = 20s;
+        fixture.receive(message);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
         fixture.receive(RunAcknowledged{runId(1)});
         for (const std::uint32_t attempt : {1U, 2U}) {
-            fixture.receive(SideFixture::start(runId(1, attempt), serial));
-            fixture.pass(5s);
+            fixture.receive(SidecarFixture::makeStartRun(runId(1, attempt), serial));
+            fixture.advanceClock(5s);
         }
-        CPPUNIT_ASSERT(fixture.all<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
     }
 
     void sealedRequestNeverRuns()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SealRequest{RequestId{1, 1}, thisIncarnation, serial}, fixture.other);
-        CPPUNIT_ASSERT(fixture.messages<RequestState>().at(0).state == LedgerState::Sealed);
-        fixture.receive(SideFixture::start(runId(1), serial));
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).state == RunState::NotStarted);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).reason == Reason::Sealed);
-        CPPUNIT_ASSERT(fixture.all<EndpointStart>().empty());
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SealRequest{RequestId{1, 1}, testIncarnation, serial}, fixture.otherEntry);
+        CPPUNIT_ASSERT(fixture.messagesOf<RequestState>().at(0).state == LedgerState::Sealed);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).reason == Reason::Sealed);
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
     }
 
-    void sealTakesAQueuedRunBack()
+    void sealRemovesAQueuedRun()
     {
-        SideFixture fixture;
-        fixture.receive(SideFixture::start(runId(1)));
-        fixture.receive(SideFixture::start(runId(2)));
-        const Serial serial = fixture.open(3);
-        fixture.receive(SideFixture::start(runId(3), serial));
-        fixture.receive(SealRequest{RequestId{1, 3}, thisIncarnation, serial}, fixture.other);
-        CPPUNIT_ASSERT(fixture.messages<RequestState>(fixture.other).at(0).state == LedgerState::Sealed);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(3)).state == RunState::NotStarted);
-        fixture.complete(runId(1));
-        fixture.complete(runId(2));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.starts(runId(3)));
+        SidecarFixture fixture;
+        fixture.receive(SidecarFixture::makeStartRun(runId(1)));
+        fixture.receive(SidecarFixture::makeStartRun(runId(2)));
+        const Serial serial = fixture.openRequest(3);
+        fixture.receive(SidecarFixture::makeStartRun(runId(3), serial));
+        fixture.receive(SealRequest{RequestId{1, 3}, testIncarnation, serial}, fixture.otherEntry);
+        CPPUNIT_ASSERT(fixture.messagesOf<RequestState>(fixture.otherEntry).at(0).state == LedgerState::Sealed);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(3)).state == RunState::NotStarted);
+        fixture.completeRun(runId(1));
+        fixture.completeRun(runId(2));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.startCount(runId(3)));
     }
 
-    void sealOfARunningRequestTellsSo()
+    void sealOfARunningRequestReturnsItsState()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SideFixture::start(runId(1), serial));
-        fixture.receive(SealRequest{RequestId{1, 1}, thisIncarnation, serial}, fixture.other);
-        const RequestState state = fixture.messages<RequestState>(fixture.other).at(0);
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        fixture.receive(SealRequest{RequestId{1, 1}, testIncarnation, serial}, fixture.otherEntry);
+        const RequestState state = fixture.messagesOf<RequestState>(fixture.otherEntry).at(0);
         CPPUNIT_ASSERT(state.state == LedgerState::Running && state.run == runId(1));
-        fixture.complete(runId(1));
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).state == RunState::Completed);
+        fixture.completeRun(runId(1));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::Completed);
     }
 
     void openedRecordIsSealedAfterItsDeadline()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1, 2s);
-        fixture.receive(AttachRequest{RequestId{1, 1}, thisIncarnation, serial}, fixture.other);
-        fixture.clear();
-        fixture.pass(2100ms);
-        CPPUNIT_ASSERT(fixture.messages<RequestState>(fixture.other).at(0).state == LedgerState::Sealed);
-        fixture.receive(SideFixture::start(runId(1), serial));
-        CPPUNIT_ASSERT(fixture.all<EndpointStart>().empty());
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1, 2s);
+        fixture.receive(AttachRequest{RequestId{1, 1}, testIncarnation, serial}, fixture.otherEntry);
+        fixture.clearEffects();
+        fixture.advanceClock(2100ms);
+        CPPUNIT_ASSERT(fixture.messagesOf<RequestState>(fixture.otherEntry).at(0).state == LedgerState::Sealed);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
     }
 
-    void lostDriverDoesNotCutTheRunOff()
+    void lostDriverDoesNotCancelTheRun()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SideFixture::start(runId(1), serial));
-        fixture.receive(SideFixture::start(runId(2)));
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        fixture.receive(SidecarFixture::makeStartRun(runId(2)));
         fixture.apply(PeerDown{fixture.entry});
-        fixture.pass(10s);
-        const auto cancels = fixture.all<EndpointCancel>();
+        fixture.advanceClock(10s);
+        const auto cancels = fixture.effectsOf<EndpointCancel>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cancels.size());
         CPPUNIT_ASSERT(cancels.front().run == runId(2));
-        fixture.complete(runId(1), "kept");
-        fixture.apply(PeerUp{fixture.other});
-        fixture.receive(AttachRequest{RequestId{1, 1}, thisIncarnation, serial, 2}, fixture.other);
-        const auto pieces = fixture.messages<RunProgress>(fixture.other);
+        fixture.completeRun(runId(1), "kept");
+        fixture.apply(PeerUp{fixture.otherEntry});
+        fixture.receive(AttachRequest{RequestId{1, 1}, testIncarnation, serial, 2}, fixture.otherEntry);
+        const auto pieces = fixture.messagesOf<RunProgress>(fixture.otherEntry);
         CPPUNIT_ASSERT(pieces.size() == 1 && pieces[0].offset == 2 && pieces[0].piece == "pt");
-        CPPUNIT_ASSERT(fixture.messages<RunFinished>(fixture.other).at(0).state == RunState::Completed);
+        CPPUNIT_ASSERT(fixture.messagesOf<RunFinished>(fixture.otherEntry).at(0).state == RunState::Completed);
     }
 
-    void cancelDoesNotCutARunningRunOff()
+    void cancelDoesNotStopARunningRun()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SideFixture::start(runId(1), serial));
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
         fixture.receive(CancelRun{runId(1), serial});
-        CPPUNIT_ASSERT(fixture.all<EndpointCancel>().empty());
-        CPPUNIT_ASSERT(fixture.messages<RunStates>().at(0).items.at(0).state == RunState::Running);
-        const Serial second = fixture.open(2);
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointCancel>().empty());
+        CPPUNIT_ASSERT(fixture.messagesOf<RunStates>().at(0).items.at(0).state == RunState::Running);
+        const Serial second = fixture.openRequest(2);
         fixture.receive(CancelRun{runId(2), second});
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(2)).state == RunState::NotStarted);
-        fixture.receive(SideFixture::start(runId(2), second));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.starts(runId(2)));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(2)).state == RunState::NotStarted);
+        fixture.receive(SidecarFixture::makeStartRun(runId(2), second));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.startCount(runId(2)));
     }
 
-    void resultOutlivesItsAcknowledgement()
+    void resultIsRetainedAfterAcknowledgement()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SideFixture::start(runId(1), serial));
-        fixture.complete(runId(1), "answer");
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        fixture.completeRun(runId(1), "answer");
         fixture.receive(RunAcknowledged{runId(1)});
-        fixture.clear();
-        fixture.pass(10s);
-        CPPUNIT_ASSERT(fixture.messages<RunFinished>().empty());
-        fixture.receive(AttachRequest{RequestId{1, 1}, thisIncarnation, serial}, fixture.other);
-        CPPUNIT_ASSERT_EQUAL(std::string{"answer"}, fixture.messages<RunProgress>(fixture.other).at(0).piece);
+        fixture.clearEffects();
+        fixture.advanceClock(10s);
+        CPPUNIT_ASSERT(fixture.messagesOf<RunFinished>().empty());
+        fixture.receive(AttachRequest{RequestId{1, 1}, testIncarnation, serial}, fixture.otherEntry);
+        CPPUNIT_ASSERT_EQUAL(std::string{"answer"}, fixture.messagesOf<RunProgress>(fixture.otherEntry).at(0).piece);
     }
 
-    void attachedProcessHearsOfTheLaterStart()
+    void attachedProcessIsNotifiedOfALaterStart()
     {
-        SideFixture fixture;
-        fixture.apply(PeerUp{fixture.other});
-        const Serial serial = fixture.open(1);
-        fixture.receive(AttachRequest{RequestId{1, 1}, thisIncarnation, serial}, fixture.other);
-        CPPUNIT_ASSERT(fixture.messages<RequestState>(fixture.other).at(0).state == LedgerState::Opened);
-        fixture.receive(SideFixture::start(runId(1), serial));
-        fixture.complete(runId(1));
-        CPPUNIT_ASSERT(fixture.messages<RequestState>(fixture.other).at(1).run == runId(1));
-        CPPUNIT_ASSERT(fixture.messages<RunFinished>(fixture.other).at(0).state == RunState::Completed);
+        SidecarFixture fixture;
+        fixture.apply(PeerUp{fixture.otherEntry});
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(AttachRequest{RequestId{1, 1}, testIncarnation, serial}, fixture.otherEntry);
+        CPPUNIT_ASSERT(fixture.messagesOf<RequestState>(fixture.otherEntry).at(0).state == LedgerState::Opened);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        fixture.completeRun(runId(1));
+        CPPUNIT_ASSERT(fixture.messagesOf<RequestState>(fixture.otherEntry).at(1).run == runId(1));
+        CPPUNIT_ASSERT(fixture.messagesOf<RunFinished>(fixture.otherEntry).at(0).state == RunState::Completed);
     }
 
-    void lostDriverOfAnOpenedRequestSealsItForTheOneWhoWaits()
+    void lostDriverSealsAnOpenedRequestWithWaitingPeer()
     {
-        SideFixture fixture;
-        fixture.apply(PeerUp{fixture.other});
-        const Serial serial = fixture.open(1);
-        fixture.receive(AttachRequest{RequestId{1, 1}, thisIncarnation, serial}, fixture.other);
-        fixture.pass(4s);
-        fixture.clear();
+        SidecarFixture fixture;
+        fixture.apply(PeerUp{fixture.otherEntry});
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(AttachRequest{RequestId{1, 1}, testIncarnation, serial}, fixture.otherEntry);
+        fixture.advanceClock(4s);
+        fixture.clearEffects();
         fixture.apply(PeerDown{fixture.entry});
-        fixture.pass(2900ms);
-        CPPUNIT_ASSERT(fixture.messages<RequestState>(fixture.other).empty());
-        fixture.pass(700ms);
-        CPPUNIT_ASSERT(fixture.messages<RequestState>(fixture.other).at(0).state == LedgerState::Sealed);
-        fixture.receive(SideFixture::start(runId(1), serial));
-        CPPUNIT_ASSERT(fixture.all<EndpointStart>().empty());
+        fixture.advanceClock(2900ms);
+        CPPUNIT_ASSERT(fixture.messagesOf<RequestState>(fixture.otherEntry).empty());
+        fixture.advanceClock(700ms);
+        CPPUNIT_ASSERT(fixture.messagesOf<RequestState>(fixture.otherEntry).at(0).state == LedgerState::Sealed);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
     }
 
-    void nextDriverTakesAnOpenedRequestOver()
+    void newDriverTakesOverAnOpenedRequest()
     {
-        SideFixture fixture;
-        fixture.apply(PeerUp{fixture.other});
-        const Serial serial = fixture.open(1);
+        SidecarFixture fixture;
+        fixture.apply(PeerUp{fixture.otherEntry});
+        const Serial serial = fixture.openRequest(1);
         fixture.apply(PeerDown{fixture.entry});
-        fixture.receive(OpenRequest{RequestId{1, 1}, WorkspaceName{"north"}, 9s}, fixture.other);
-        fixture.receive(AttachRequest{RequestId{1, 1}, thisIncarnation, serial}, fixture.other);
-        fixture.pass(5s);
-        fixture.receive(SideFixture::start(runId(1), serial), fixture.other);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.starts(runId(1)));
+        fixture.receive(OpenRequest{RequestId{1, 1}, WorkspaceName{"north"}, 9s}, fixture.otherEntry);
+        fixture.receive(AttachRequest{RequestId{1, 1}, testIncarnation, serial}, fixture.otherEntry);
+        fixture.advanceClock(5s);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial), fixture.otherEntry);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.startCount(runId(1)));
     }
 
-    void endpointRefusalIsNotStartedAndFinal()
+    void endpointRefusalIsFinal()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SideFixture::start(runId(1), serial));
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
         fixture.apply(EndpointFinished{runId(1), EndpointResult::Refused, Reason::Overloaded});
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).state == RunState::NotStarted);
-        fixture.receive(SideFixture::start(runId(1, 2), serial));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.all<EndpointStart>().size());
-        const Serial second = fixture.open(2);
-        fixture.receive(SideFixture::start(runId(2), second));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1, 2), serial));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<EndpointStart>().size());
+        const Serial second = fixture.openRequest(2);
+        fixture.receive(SidecarFixture::makeStartRun(runId(2), second));
         fixture.apply(EndpointPiece{runId(2), "x", 1});
         fixture.apply(EndpointFinished{runId(2), EndpointResult::Refused, Reason::Overloaded});
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(2)).state == RunState::Unknown);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(2)).state == RunState::Unknown);
     }
 
     void endpointFailureIsUnknown()
     {
-        SideFixture fixture;
-        const Serial serial = fixture.open(1);
-        fixture.receive(SideFixture::start(runId(1), serial));
-        fixture.receive(SideFixture::start(runId(2)));
+        SidecarFixture fixture;
+        const Serial serial = fixture.openRequest(1);
+        fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
+        fixture.receive(SidecarFixture::makeStartRun(runId(2)));
         fixture.apply(EndpointFinished{runId(1), EndpointResult::Failed, Reason::EndpointFailed});
         fixture.apply(EndpointFinished{runId(2), EndpointResult::Failed, Reason::EndpointFailed});
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).state == RunState::Unknown);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(2)).state == RunState::Failed);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::Unknown);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(2)).state == RunState::Failed);
     }
 
     void fullLedgerRefusesToOpen()
     {
-        Document document = smallDocument();
+        Document document = minimalDocument();
         document.policy.ledgerLimit = 1;
-        SideFixture fixture{document};
-        CPPUNIT_ASSERT(fixture.open(1) != noSerial);
-        CPPUNIT_ASSERT(fixture.open(2) == noSerial);
-        CPPUNIT_ASSERT(fixture.messages<OpenRefused>().at(0).reason == Reason::LedgerFull);
-        fixture.pass(40s);
-        CPPUNIT_ASSERT(fixture.open(2) != noSerial);
+        SidecarFixture fixture{document};
+        CPPUNIT_ASSERT(fixture.openRequest(1) != noSerial);
+        CPPUNIT_ASSERT(fixture.openRequest(2) == noSerial);
+        CPPUNIT_ASSERT(fixture.messagesOf<OpenRefused>().at(0).reason == Reason::LedgerFull);
+        fixture.advanceClock(40s);
+        CPPUNIT_ASSERT(fixture.openRequest(2) != noSerial);
     }
 
-    void keyedOpenIsRefusedWhileWarming()
+    void keyedOpenIsRefusedDuringWarmup()
     {
-        SideFixture fixture;
-        CPPUNIT_ASSERT(fixture.open(1, 9s, true) == noSerial);
-        CPPUNIT_ASSERT(fixture.messages<OpenRefused>().at(0).reason == Reason::Warming);
-        fixture.pass(fixture.messages<OpenRefused>().at(0).retryAfter);
-        CPPUNIT_ASSERT(fixture.open(1, 9s, true) != noSerial);
-        fixture.apply(ViewChanged{viewOf({"side-2"})});
-        CPPUNIT_ASSERT(fixture.open(2, 9s, true) == noSerial);
-        CPPUNIT_ASSERT(fixture.messages<OpenRefused>().back().reason == Reason::StaleView);
-        CPPUNIT_ASSERT(fixture.open(3) != noSerial);
+        SidecarFixture fixture;
+        CPPUNIT_ASSERT(fixture.openRequest(1, 9s, true) == noSerial);
+        CPPUNIT_ASSERT(fixture.messagesOf<OpenRefused>().at(0).reason == Reason::Warming);
+        fixture.advanceClock(fixture.messagesOf<OpenRefused>().at(0).retryAfter);
+        CPPUNIT_ASSERT(fixture.openRequest(1, 9s, true) != noSerial);
+        fixture.apply(ViewChanged{instanceViewOf({"side-2"})});
+        CPPUNIT_ASSERT(fixture.openRequest(2, 9s, true) == noSerial);
+        CPPUNIT_ASSERT(fixture.messagesOf<OpenRefused>().back().reason == Reason::StaleView);
+        CPPUNIT_ASSERT(fixture.openRequest(3) != noSerial);
     }
 };
 
--- a/test/bergamottide/side/orders.cpp
+++ b/test/bergamottide/side/orders.cpp
@@ -1,6 +1,6 @@
 #include "bergamottide/side/sidereducer.h"
 
-#include "sidefixture.h"
+#include "sidecarfixture.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -12,7 +12,7 @@
 
 Document documentWithModel()
 {
-    Document document = smallDocument();
+    Document document = minimalDocument();
     Pipeline pipeline;
     pipeline.name = PipelineName{"p"};
     pipeline.stages = {Stage{StageName{"s"}, PoolName{"engines"}}};
@@ -24,51 +24,51 @@
 
 } // namespace
 
-/*! @brief A side is the single giver of orders to its engine, and only while it knows that it is. */
-class SideOrdersTest : public CppUnit::TestFixture
+/*! @brief A sidecar sends orders only while it is certain to be the only sender for its engine. */
+class SidecarOrdersTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(SideOrdersTest);
-    CPPUNIT_TEST(missingModelIsLoaded);
-    CPPUNIT_TEST(noOrderWhileDraining);
-    CPPUNIT_TEST(noOrderAfterAPauseUntilReadAnew);
+    CPPUNIT_TEST_SUITE(SidecarOrdersTest);
+    CPPUNIT_TEST(loadsMissingModel);
+    CPPUNIT_TEST(sendsNoOrderWhileDraining);
+    CPPUNIT_TEST(sendsNoOrderAfterPauseUntilNextReport);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void missingModelIsLoaded()
+    void loadsMissingModel()
     {
-        SideFixture fixture{documentWithModel()};
-        fixture.pass(2s);
-        CPPUNIT_ASSERT(fixture.all<GiveOrder>().empty());
+        SidecarFixture fixture{documentWithModel()};
+        fixture.advanceClock(2s);
+        CPPUNIT_ASSERT(fixture.effectsOf<GiveOrder>().empty());
         fixture.apply(EndpointReport{});
-        fixture.pass(5s);
-        const auto orders = fixture.all<GiveOrder>();
+        fixture.advanceClock(5s);
+        const auto orders = fixture.effectsOf<GiveOrder>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, orders.size());
         CPPUNIT_ASSERT(orders[0].kind == OrderKind::LoadModel && orders[0].model.text() == "m");
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.all<AuditRecord>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<AuditRecord>().size());
     }
 
-    void noOrderWhileDraining()
+    void sendsNoOrderWhileDraining()
     {
-        SideFixture fixture{documentWithModel()};
-        fixture.pass(2s);
+        SidecarFixture fixture{documentWithModel()};
+        fixture.advanceClock(2s);
         fixture.apply(DrainRequested{"SIGTERM"});
         fixture.apply(EndpointReport{});
-        fixture.pass(5s);
-        CPPUNIT_ASSERT(fixture.all<GiveOrder>().empty());
+        fixture.advanceClock(5s);
+        CPPUNIT_ASSERT(fixture.effectsOf<GiveOrder>().empty());
     }
 
-    void noOrderAfterAPauseUntilReadAnew()
+    void sendsNoOrderAfterPauseUntilNextReport()
     {
-        SideFixture fixture{documentWithModel()};
+        SidecarFixture fixture{documentWithModel()};
         fixture.clock.advance(10s);
         fixture.apply(EndpointReport{});
-        CPPUNIT_ASSERT(fixture.all<GiveOrder>().empty());
-        fixture.receive(Pong{fixture.messages<Ping>().at(0).sequence});
-        fixture.pass(3s);
-        CPPUNIT_ASSERT(fixture.all<GiveOrder>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<GiveOrder>().empty());
+        fixture.receive(Pong{fixture.messagesOf<Ping>().at(0).sequence});
+        fixture.advanceClock(3s);
+        CPPUNIT_ASSERT(fixture.effectsOf<GiveOrder>().empty());
         fixture.apply(EndpointReport{});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.all<GiveOrder>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<GiveOrder>().size());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(SideOrdersTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(SidecarOrdersTest);
--- a/test/bergamottide/side/sidefixture.h
+++ b/test/bergamottide/side/sidecarfixture.h
@@ -10,16 +10,16 @@
 
 namespace bergamottide::test {
 
-inline constexpr Incarnation thisIncarnation{7};
+inline constexpr Incarnation testIncarnation{7};
 
-/*! @brief Returns a run identity of request `number`. */
+/*! @brief Returns the identity of a run of request `number`. */
 inline RunId runId(std::uint64_t number, std::uint32_t attempt = 1, std::uint32_t stage = 0)
 {
     return {RequestId{1, number}, stage, attempt};
 }
 
 /*! @brief Returns a document with one pool and two workspaces. */
-inline Document smallDocument()
+inline Document minimalDocument()
 {
     Document document;
     document.version = 1;
@@ -34,8 +34,8 @@
     return document;
 }
 
-/*! @brief Instance list of sides of pool `engines` with these names. */
-inline std::shared_ptr<const InstanceView> viewOf(const std::vector<std::string> &names)
+/*! @brief Returns an instance list of sidecars of pool `engines` with these names. */
+inline std::shared_ptr<const InstanceView> instanceViewOf(const std::vector<std::string> &names)
 {
     auto view = std::make_shared<InstanceView>();
     for (const std::string &name : names) {
@@ -48,23 +48,23 @@
     return view;
 }
 
-/*! @brief A side under a virtual clock, with what it has done since the last look. */
-class SideFixture
+/*! @brief A sidecar with a manual clock that collects its effects. */
+class SidecarFixture
 {
 public:
-    explicit SideFixture(Document document = smallDocument())
-        : m_side{SideIdentity{InstanceName{"side-1"}, RegionName{"r"}, ZoneName{"z"}, PoolName{"engines"},
-                              thisIncarnation, 1}}
+    explicit SidecarFixture(Document document = minimalDocument())
+        : m_reducer{SideIdentity{InstanceName{"side-1"}, RegionName{"r"}, ZoneName{"z"}, PoolName{"engines"},
+                                 testIncarnation, 1}}
     {
         apply(ConfigChanged{std::make_shared<const Document>(std::move(document)), 1});
-        apply(ViewChanged{viewOf({"side-1"})});
+        apply(ViewChanged{instanceViewOf({"side-1"})});
         apply(PeerUp{entry});
         effects.clear();
     }
 
     void apply(const SideEvent &event)
     {
-        for (SideEffect &effect : m_side.apply(event, clock.now())) {
+        for (SideEffect &effect : m_reducer.apply(event, clock.now())) {
             effects.push_back(std::move(effect));
         }
     }
@@ -79,44 +79,44 @@
         receive(std::move(message), entry);
     }
 
-    /*! @brief Lets time pass with every tick that the side asks for. */
-    void pass(Duration length)
+    /*! @brief Advances the clock and delivers every tick requested on the way. */
+    void advanceClock(Duration length)
     {
         const TimePoint end = clock.now() + length;
-        while (m_side.nextWakeup() && *m_side.nextWakeup() <= end) {
-            clock.set(std::max(*m_side.nextWakeup(), clock.now()));
+        while (m_reducer.nextWakeup() && *m_reducer.nextWakeup() <= end) {
+            clock.set(std::max(*m_reducer.nextWakeup(), clock.now()));
             apply(Tick{});
         }
         clock.set(end);
     }
 
-    /*! @brief Opens a request and returns its serial; zero if refused. */
-    Serial open(std::uint64_t number, Duration remaining = std::chrono::seconds{9}, bool keyed = false)
+    /*! @brief Opens a request and returns its serial; `noSerial` if refused. */
+    Serial openRequest(std::uint64_t number, Duration remaining = std::chrono::seconds{9}, bool keyed = false)
     {
         receive(OpenRequest{RequestId{1, number}, WorkspaceName{"north"}, remaining, keyed});
-        const auto opened = messages<RequestOpened>();
+        const auto opened = messagesOf<RequestOpened>();
         return opened.empty() || opened.back().request.low != number ? noSerial : opened.back().serial;
     }
 
-    /*! @brief Returns a run ready to be sent. */
-    static StartRun start(const RunId &run, Serial serial = noSerial, const std::string &workspace = "north")
+    /*! @brief Returns a start message with default values. */
+    static StartRun makeStartRun(const RunId &run, Serial serial = noSerial, const std::string &workspace = "north")
     {
-        StartRun order;
-        order.run = run;
-        order.serial = serial;
-        order.incarnation = thisIncarnation;
-        order.workspace = WorkspaceName{workspace};
-        order.pipeline = PipelineName{"p"};
-        order.stage = StageName{"s"};
-        order.remaining = std::chrono::seconds{9};
-        order.cost = std::chrono::milliseconds{100};
-        order.body = "body";
-        return order;
-    }
-
-    /*! @brief Returns the effects of a kind since the last `clear`. */
+        StartRun message;
+        message.run = run;
+        message.serial = serial;
+        message.incarnation = testIncarnation;
+        message.workspace = WorkspaceName{workspace};
+        message.pipeline = PipelineName{"p"};
+        message.stage = StageName{"s"};
+        message.remaining = std::chrono::seconds{9};
+        message.cost = std::chrono::milliseconds{100};
+        message.body = "body";
+        return message;
+    }
+
+    /*! @brief Returns the effects of a type since the last `clearEffects`. */
     template <typename Effect>
-    [[nodiscard]] std::vector<Effect> all() const
+    [[nodiscard]] std::vector<Effect> effectsOf() const
     {
         std::vector<Effect> found;
         for (const SideEffect &effect : effects) {
@@ -127,12 +127,12 @@
         return found;
     }
 
-    /*! @brief Returns the messages of a kind sent since the last `clear`, to one peer or to any. */
+    /*! @brief Returns the messages of a type sent since the last `clearEffects`, to one peer or to any. */
     template <typename Kind>
-    [[nodiscard]] std::vector<Kind> messages(const InstanceName &to = {}) const
+    [[nodiscard]] std::vector<Kind> messagesOf(const InstanceName &to = {}) const
     {
         std::vector<Kind> found;
-        for (const auto &sent : all<SendMessage>()) {
+        for (const auto &sent : effectsOf<SendMessage>()) {
             const auto *match = std::get_if<Kind>(&sent.message);
             if (match != nullptr && (to.empty() || sent.to == to)) {
                 found.push_back(*match);
@@ -141,21 +141,21 @@
         return found;
     }
 
-    /*! @brief Tells how often a run was handed to the endpoint since the last `clear`. */
-    [[nodiscard]] std::size_t starts(const RunId &run) const
+    /*! @brief Returns how often a run was started at the endpoint since the last `clearEffects`. */
+    [[nodiscard]] std::size_t startCount(const RunId &run) const
     {
         std::size_t count = 0;
-        for (const auto &started : all<EndpointStart>()) {
+        for (const auto &started : effectsOf<EndpointStart>()) {
             count += started.run.run == run ? 1 : 0;
         }
         return count;
     }
 
-    /*! @brief Returns the last end told of a run; state `Absent` if none was. */
-    [[nodiscard]] RunFinished lastEnd(const RunId &run) const
+    /*! @brief Returns the last `RunFinished` sent for a run; state `Absent` if there is none. */
+    [[nodiscard]] RunFinished lastFinished(const RunId &run) const
     {
         RunFinished last;
-        for (const auto &finished : messages<RunFinished>()) {
+        for (const auto &finished : messagesOf<RunFinished>()) {
             if (finished.run == run) {
                 last = finished;
             }
@@ -163,29 +163,29 @@
         return last;
     }
 
-    void complete(const RunId &run, const std::string &result = "answer")
+    void completeRun(const RunId &run, const std::string &result = "answer")
     {
         apply(EndpointPiece{run, result, 1});
         apply(EndpointFinished{run, EndpointResult::Completed, Reason::None});
     }
 
-    void clear()
+    void clearEffects()
     {
         effects.clear();
     }
 
-    SideReducer &side()
+    SideReducer &reducer()
     {
-        return m_side;
+        return m_reducer;
     }
 
     const InstanceName entry{"entry-1"};
-    const InstanceName other{"entry-2"};
+    const InstanceName otherEntry{"entry-2"};
     ManualClock clock;
     std::vector<SideEffect> effects;
 
 private:
-    SideReducer m_side;
+    SideReducer m_reducer;
 };
 
 } // namespace bergamottide::test
--- a/test/bergamottide/side/sidereducer.cpp
+++ b/test/bergamottide/side/sidereducer.cpp
@@ -1,6 +1,6 @@
 #include "bergamottide/side/sidereducer.h"
 
-#include "sidefixture.h"
+#include "sidecarfixture.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -8,65 +8,65 @@
 using namespace bergamottide::test;
 using namespace std::chrono_literals;
 
-/*! @brief The ordinary life of runs and peers at a side. */
+/*! @brief Execution, cancellation and refusal of runs, and messages to peers. */
 class SideReducerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(SideReducerTest);
-    CPPUNIT_TEST(runGoesToTheEndpointAndItsResultBack);
-    CPPUNIT_TEST(runsBeyondTheConcurrencyWait);
-    CPPUNIT_TEST(withoutDocumentEveryRunIsRefused);
-    CPPUNIT_TEST(peerGetsHelloAndReports);
+    CPPUNIT_TEST(runsAtTheEndpointAndDeliversItsResult);
+    CPPUNIT_TEST(runsAboveTheConcurrencyLimitWait);
+    CPPUNIT_TEST(refusesEveryRunWithoutDocument);
+    CPPUNIT_TEST(peerReceivesHelloAndLoadReports);
     CPPUNIT_TEST(pingIsAnswered);
     CPPUNIT_TEST(queuedRunIsCanceledBeforeItStarts);
     CPPUNIT_TEST(runningRepeatableRunIsCanceledAtTheEndpoint);
-    CPPUNIT_TEST(doomedRunCostsNothing);
-    CPPUNIT_TEST(queuedRunIsRefusedWhenItBecomesDoomed);
-    CPPUNIT_TEST(fullQueueRefusesTheBurstNotTheOthers);
-    CPPUNIT_TEST(hugeResultCostsItsOwnRunOnly);
+    CPPUNIT_TEST(infeasibleRunIsRefusedBeforeItStarts);
+    CPPUNIT_TEST(queuedRunIsRefusedWhenItBecomesInfeasible);
+    CPPUNIT_TEST(fullQueueEvictsRunsOfTheLargestBacklog);
+    CPPUNIT_TEST(oversizedResultCancelsOnlyItsRun);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void runGoesToTheEndpointAndItsResultBack()
+    void runsAtTheEndpointAndDeliversItsResult()
     {
-        SideFixture fixture;
-        fixture.receive(SideFixture::start(runId(1)));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.starts(runId(1)));
+        SidecarFixture fixture;
+        fixture.receive(SidecarFixture::makeStartRun(runId(1)));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.startCount(runId(1)));
         fixture.apply(EndpointPiece{runId(1), "ab", 1});
         fixture.apply(EndpointPiece{runId(1), "c", 1});
         fixture.apply(EndpointFinished{runId(1), EndpointResult::Completed, Reason::None});
         std::string result;
-        for (const RunProgress &progress : fixture.messages<RunProgress>(fixture.entry)) {
+        for (const RunProgress &progress : fixture.messagesOf<RunProgress>(fixture.entry)) {
             CPPUNIT_ASSERT_EQUAL(static_cast<std::uint64_t>(result.size()), progress.offset);
             result += progress.piece;
         }
         CPPUNIT_ASSERT_EQUAL(std::string{"abc"}, result);
-        const RunFinished end = fixture.lastEnd(runId(1));
+        const RunFinished end = fixture.lastFinished(runId(1));
         CPPUNIT_ASSERT(end.state == RunState::Completed);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, end.length);
         CPPUNIT_ASSERT_EQUAL(2U, end.tokens);
         fixture.receive(RunAcknowledged{runId(1)});
-        fixture.clear();
-        fixture.pass(30s);
-        CPPUNIT_ASSERT(fixture.messages<RunFinished>().empty());
+        fixture.clearEffects();
+        fixture.advanceClock(30s);
+        CPPUNIT_ASSERT(fixture.messagesOf<RunFinished>().empty());
     }
 
-    void runsBeyondTheConcurrencyWait()
+    void runsAboveTheConcurrencyLimitWait()
     {
-        SideFixture fixture;
+        SidecarFixture fixture;
         for (std::uint64_t number = 1; number <= 3; ++number) {
-            fixture.receive(SideFixture::start(runId(number)));
+            fixture.receive(SidecarFixture::makeStartRun(runId(number)));
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.all<EndpointStart>().size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fixture.side().inProgress());
-        fixture.complete(runId(1));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.starts(runId(3)));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.effectsOf<EndpointStart>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fixture.reducer().inProgress());
+        fixture.completeRun(runId(1));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.startCount(runId(3)));
     }
 
-    void withoutDocumentEveryRunIsRefused()
+    void refusesEveryRunWithoutDocument()
     {
-        SideReducer side{SideIdentity{InstanceName{"side-1"}}};
-        const auto effects =
-            side.apply(PeerMessage{InstanceName{"entry-1"}, SideFixture::start(runId(1))}, ManualClock{}.now());
+        SideReducer reducer{SideIdentity{InstanceName{"side-1"}}};
+        const auto effects = reducer.apply(PeerMessage{InstanceName{"entry-1"}, SidecarFixture::makeStartRun(runId(1))},
+                                           ManualClock{}.now());
         bool refused = false;
         for (const SideEffect &effect : effects) {
             CPPUNIT_ASSERT(!std::holds_alternative<EndpointStart>(effect));
@@ -77,113 +77,113 @@
         CPPUNIT_ASSERT(refused);
     }
 
-    void peerGetsHelloAndReports()
+    void peerReceivesHelloAndLoadReports()
     {
-        SideFixture fixture;
-        fixture.apply(PeerUp{fixture.other});
-        const auto hellos = fixture.messages<Hello>(fixture.other);
+        SidecarFixture fixture;
+        fixture.apply(PeerUp{fixture.otherEntry});
+        const auto hellos = fixture.messagesOf<Hello>(fixture.otherEntry);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, hellos.size());
-        CPPUNIT_ASSERT(hellos.front().incarnation == thisIncarnation);
+        CPPUNIT_ASSERT(hellos.front().incarnation == testIncarnation);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, hellos.front().configVersion);
-        fixture.clear();
-        fixture.pass(1s);
-        const auto reports = fixture.messages<LoadReport>(fixture.entry);
+        fixture.clearEffects();
+        fixture.advanceClock(1s);
+        const auto reports = fixture.messagesOf<LoadReport>(fixture.entry);
         CPPUNIT_ASSERT(reports.size() >= 3 && reports.size() <= 5);
         fixture.apply(PeerDown{fixture.entry});
-        fixture.clear();
-        fixture.pass(1s);
-        CPPUNIT_ASSERT(fixture.messages<LoadReport>(fixture.entry).empty());
+        fixture.clearEffects();
+        fixture.advanceClock(1s);
+        CPPUNIT_ASSERT(fixture.messagesOf<LoadReport>(fixture.entry).empty());
     }
 
     void pingIsAnswered()
     {
-        SideFixture fixture;
+        SidecarFixture fixture;
         fixture.receive(Ping{42});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{42}, fixture.messages<Pong>().at(0).sequence);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{42}, fixture.messagesOf<Pong>().at(0).sequence);
     }
 
     void queuedRunIsCanceledBeforeItStarts()
     {
-        SideFixture fixture;
+        SidecarFixture fixture;
         for (std::uint64_t number = 1; number <= 3; ++number) {
-            fixture.receive(SideFixture::start(runId(number)));
+            fixture.receive(SidecarFixture::makeStartRun(runId(number)));
         }
         fixture.receive(CancelRun{runId(3)});
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(3)).state == RunState::NotStarted);
-        fixture.complete(runId(1));
-        fixture.complete(runId(2));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.starts(runId(3)));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(3)).state == RunState::NotStarted);
+        fixture.completeRun(runId(1));
+        fixture.completeRun(runId(2));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.startCount(runId(3)));
     }
 
     void runningRepeatableRunIsCanceledAtTheEndpoint()
     {
-        SideFixture fixture;
-        fixture.receive(SideFixture::start(runId(1)));
+        SidecarFixture fixture;
+        fixture.receive(SidecarFixture::makeStartRun(runId(1)));
         fixture.receive(CancelRun{runId(1)});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.all<EndpointCancel>().size());
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).state == RunState::Failed);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.side().inProgress());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<EndpointCancel>().size());
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::Failed);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.reducer().inProgress());
     }
 
-    void doomedRunCostsNothing()
+    void infeasibleRunIsRefusedBeforeItStarts()
     {
-        SideFixture fixture;
-        StartRun order = SideFixture::start(runId(1));
-        order.remaining = 500ms;
-        order.cost = 100ms;
-        order.following = 401ms;
-        fixture.receive(order);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).state == RunState::NotStarted);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).reason == Reason::DeadlineUnreachable);
-        CPPUNIT_ASSERT(fixture.all<EndpointStart>().empty());
+        SidecarFixture fixture;
+        StartRun message = SidecarFixture::makeStartRun(runId(1));
+        message.remaining = 500ms;
+        message.cost = 100ms;
+        message.following = 401ms;
+        fixture.receive(message);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).reason == Reason::DeadlineUnreachable);
+        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
     }
 
-    void queuedRunIsRefusedWhenItBecomesDoomed()
+    void queuedRunIsRefusedWhenItBecomesInfeasible()
     {
-        SideFixture fixture;
-        fixture.receive(SideFixture::start(runId(1)));
-        fixture.receive(SideFixture::start(runId(2)));
-        StartRun order = SideFixture::start(runId(3));
-        order.remaining = 1s;
-        fixture.receive(order);
-        fixture.pass(899ms);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(3)).state == RunState::Absent);
-        fixture.pass(2ms);
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(3)).state == RunState::NotStarted);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.side().inProgress());
+        SidecarFixture fixture;
+        fixture.receive(SidecarFixture::makeStartRun(runId(1)));
+        fixture.receive(SidecarFixture::makeStartRun(runId(2)));
+        StartRun message = SidecarFixture::makeStartRun(runId(3));
+        message.remaining = 1s;
+        fixture.receive(message);
+        fixture.advanceClock(899ms);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(3)).state == RunState::Absent);
+        fixture.advanceClock(2ms);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(3)).state == RunState::NotStarted);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.reducer().inProgress());
     }
 
-    void fullQueueRefusesTheBurstNotTheOthers()
+    void fullQueueEvictsRunsOfTheLargestBacklog()
     {
-        Document document = smallDocument();
+        Document document = minimalDocument();
         document.policy.queueLimit = 8;
-        SideFixture fixture{document};
+        SidecarFixture fixture{document};
         for (std::uint64_t number = 1; number <= 10; ++number) {
-            fixture.receive(SideFixture::start(runId(number)));
+            fixture.receive(SidecarFixture::makeStartRun(runId(number)));
         }
-        fixture.clear();
-        fixture.receive(SideFixture::start(runId(11), noSerial, "south"));
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(11)).state == RunState::Absent);
-        const auto ends = fixture.messages<RunFinished>();
+        fixture.clearEffects();
+        fixture.receive(SidecarFixture::makeStartRun(runId(11), noSerial, "south"));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(11)).state == RunState::Absent);
+        const auto ends = fixture.messagesOf<RunFinished>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ends.size());
         CPPUNIT_ASSERT(ends.front().reason == Reason::QueueFull && ends.front().state == RunState::NotStarted);
         CPPUNIT_ASSERT(ends.front().retryAfter > Duration{});
-        fixture.complete(runId(1));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.starts(runId(11)));
+        fixture.completeRun(runId(1));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.startCount(runId(11)));
     }
 
-    void hugeResultCostsItsOwnRunOnly()
+    void oversizedResultCancelsOnlyItsRun()
     {
-        Document document = smallDocument();
+        Document document = minimalDocument();
         document.policy.maxResultBytes = 10;
-        SideFixture fixture{document};
-        fixture.receive(SideFixture::start(runId(1)));
-        fixture.receive(SideFixture::start(runId(2)));
+        SidecarFixture fixture{document};
+        fixture.receive(SidecarFixture::makeStartRun(runId(1)));
+        fixture.receive(SidecarFixture::makeStartRun(runId(2)));
         fixture.apply(EndpointPiece{runId(1), std::string(11, 'x'), 1});
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(1)).reason == Reason::AnswerTooLarge);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.all<EndpointCancel>().size());
-        fixture.complete(runId(2));
-        CPPUNIT_ASSERT(fixture.lastEnd(runId(2)).state == RunState::Completed);
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).reason == Reason::AnswerTooLarge);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<EndpointCancel>().size());
+        fixture.completeRun(runId(2));
+        CPPUNIT_ASSERT(fixture.lastFinished(runId(2)).state == RunState::Completed);
     }
 };
 
