--- a/src/bergamottide/serving/endpointdirectory.cpp
+++ b/src/bergamottide/serving/endpointdirectory.cpp
@@ -8,21 +8,18 @@
 
 namespace {
 
-/*! @brief Time within which an endpoint that lives has renewed its entry after the list's return: about 2 s, and a
- * margin. */
-constexpr Duration renewal = std::chrono::milliseconds{2200};
+/*! @brief Time for which an endpoint without an entry is kept: a live one has renewed its entry by then. */
+constexpr Duration missingTimeout = std::chrono::milliseconds{2200};
 /*!
- * @brief Time after the list's return in which an entry that is missing may have lapsed before it.
+ * @brief Grace period after an outage, for entries that expired during it.
  *
- * The first read after the return tells of all that lapsed; whatever disappears later is gone, and must have no new
- * work two seconds on.
+ * The first read after the outage contains all of these removals. Later ones are real and take effect at once.
  */
-constexpr Duration catchUp = std::chrono::milliseconds{400};
-/*! @brief An entry is heard of some time after it was written, so that the same coldness seems to end later each time.
- */
-constexpr Duration coldTolerance = std::chrono::milliseconds{1000};
-/*! @brief Outages shorter than this let no entry lapse: entries outlive three heartbeats. */
-constexpr Duration shortOutage = std::chrono::milliseconds{1000};
+constexpr Duration graceAfterReturn = std::chrono::milliseconds{400};
+/*! @brief Tolerance for the end of the cold phase: it is relative to the entry, so propagation delays shift it. */
+constexpr Duration coldUntilTolerance = std::chrono::milliseconds{1000};
+/*! @brief Shortest outage that starts a grace period: in shorter ones no entry expires. */
+constexpr Duration minOutageWithGrace = std::chrono::milliseconds{1000};
 
 } // namespace
 
@@ -49,18 +46,18 @@
     m_missing.erase(record.instance);
     const auto [found, isNew] = m_endpoints.try_emplace(record.instance, record);
     EndpointRecord &known = found->second;
-    const bool isAnew = isNew || known.incarnation != record.incarnation;
-    const bool draining = record.draining || (!isAnew && known.draining);
+    const bool isNewIncarnation = isNew || known.incarnation != record.incarnation;
+    const bool draining = record.draining || (!isNewIncarnation && known.draining);
     const TimePoint coldUntil = record.coldLeft > Duration::zero() ? now + record.coldLeft : TimePoint{};
-    const bool isColder = coldUntil > known.coldUntil + coldTolerance;
-    if (isAnew || known.draining != draining || known.address != record.address || known.pool != record.pool
+    const bool isColder = coldUntil > known.coldUntil + coldUntilTolerance;
+    if (isNewIncarnation || known.draining != draining || known.address != record.address || known.pool != record.pool
         || known.slots != record.slots || isColder) {
         m_changed = true;
     }
-    const TimePoint knownUntil = known.coldUntil;
+    const TimePoint knownColdUntil = known.coldUntil;
     known = record;
     known.draining = draining;
-    known.coldUntil = isAnew || isColder ? coldUntil : knownUntil;
+    known.coldUntil = isNewIncarnation || isColder ? coldUntil : knownColdUntil;
 }
 
 void EndpointDirectory::remove(const InstanceName &instance, TimePoint now)
@@ -69,8 +66,8 @@
     if (found == m_endpoints.end()) {
         return;
     }
-    if (isForgiving(now) && !found->second.draining) {
-        m_missing.try_emplace(instance, now + renewal);
+    if (isInGracePeriod(now) && !found->second.draining) {
+        m_missing.try_emplace(instance, now + missingTimeout);
         return;
     }
     discard(instance);
@@ -95,21 +92,21 @@
 
 void EndpointDirectory::lost(TimePoint now)
 {
-    if (!m_isLost) {
-        m_isLost = true;
-        m_lostAt = now;
+    if (!m_isListUnavailable) {
+        m_isListUnavailable = true;
+        m_unavailableSince = now;
     }
 }
 
 void EndpointDirectory::regained(TimePoint now)
 {
-    if (m_isLost && now - m_lostAt >= shortOutage) {
-        m_forgivingUntil = now + catchUp;
+    if (m_isListUnavailable && now - m_unavailableSince >= minOutageWithGrace) {
+        m_graceUntil = now + graceAfterReturn;
         for (auto &[instance, until] : m_missing) {
-            until = now + renewal;
+            until = now + missingTimeout;
         }
     }
-    m_isLost = false;
+    m_isListUnavailable = false;
 }
 
 std::optional<TimePoint> EndpointDirectory::nextWakeup() const
@@ -143,9 +140,9 @@
     return list;
 }
 
-bool EndpointDirectory::isForgiving(TimePoint now) const
+bool EndpointDirectory::isInGracePeriod(TimePoint now) const
 {
-    return m_isLost || (m_forgivingUntil && now < *m_forgivingUntil);
+    return m_isListUnavailable || (m_graceUntil && now < *m_graceUntil);
 }
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/endpointdirectory.h
+++ b/src/bergamottide/serving/endpointdirectory.h
@@ -12,62 +12,63 @@
 namespace bergamottide::serving {
 
 /**
- * @brief What is known of the endpoints, from a list that can be lost for a while.
+ * @brief Known endpoints, maintained from a list that may be temporarily unavailable.
  *
- * An endpoint that disappears while the list is lost, or just after its return, may only have been unable to renew its
- * entry. It is kept until the entry has had time to come back; otherwise an outage of the list would empty every pool.
- * That an endpoint drains binds at once and for good.
+ * An endpoint whose entry disappears during an outage of the list, or just after it, may only have been unable to renew
+ * the entry. It is kept for a grace period; otherwise an outage of the list would empty every pool. A draining endpoint
+ * gets no grace period, and it stays draining until it restarts.
  */
 class EndpointDirectory
 {
 public:
-    /*! @brief Takes the whole list as of now. */
+    /*! @brief Replaces the contents by the complete list. */
     void replace(const EndpointList &list, TimePoint now);
 
-    /*! @brief Takes the new state of one endpoint. One that has started anew under its name no longer drains. */
+    /*! @brief Adds or updates an endpoint. A new incarnation does not inherit the draining state. */
     void put(const EndpointRecord &record, TimePoint now);
 
-    /*! @brief Takes the removal of one endpoint. */
+    /*! @brief Removes an endpoint, after the grace period if there is one. */
     void remove(const InstanceName &instance, TimePoint now);
 
-    /*! @brief Takes out an endpoint whose entry does not name one any more: it has not merely lapsed. */
+    /*! @brief Removes an endpoint at once: its entry exists, but is not a valid endpoint any more. */
     void discard(const InstanceName &instance);
 
     /**
-     * @brief Sets the zones that are evacuated: none of their endpoints takes new work until the zone is restored.
+     * @brief Sets the evacuated zones, whose endpoints get no new work.
      *
-     * Holds also while the list cannot be read, and for endpoints that are listed later.
+     * Also applies while the list is unavailable, and to endpoints that are added later.
      */
     void setEvacuated(std::set<ZoneName> zones);
 
-    /*! @brief Returns the zones that are evacuated. */
+    /*! @brief Returns the evacuated zones. */
     [[nodiscard]] const std::set<ZoneName> &evacuated() const noexcept;
 
-    /*! @brief Notes that the list cannot be read any more. */
+    /*! @brief Starts an outage: the list cannot be read. */
     void lost(TimePoint now);
 
-    /*! @brief Notes that the list can be read again. */
+    /*! @brief Ends an outage: the list can be read again. */
     void regained(TimePoint now);
 
-    /*! @brief Returns when kept endpoints are taken as gone, if there are any. */
+    /*! @brief Returns when the first missing endpoint is removed, if there is one. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
 
     /**
-     * @brief Returns the list if it has changed since the last call.
-     * @param now Present time.
+     * @brief Removes expired endpoints and returns the list.
+     * @param now Current time.
+     * @return The list, or null if nothing has changed since the last call.
      */
     [[nodiscard]] std::shared_ptr<const EndpointList> takeChange(TimePoint now);
 
 private:
-    [[nodiscard]] bool isForgiving(TimePoint now) const;
+    [[nodiscard]] bool isInGracePeriod(TimePoint now) const;
 
     std::map<InstanceName, EndpointRecord> m_endpoints;
     std::set<ZoneName> m_evacuated;
-    /*! @brief Endpoints whose entry is missing, and when they are taken as gone. */
+    /*! @brief Endpoints whose entry is missing, and when each is removed. */
     std::map<InstanceName, TimePoint> m_missing;
-    bool m_isLost{};
-    TimePoint m_lostAt{};
-    std::optional<TimePoint> m_forgivingUntil;
+    bool m_isListUnavailable{};
+    TimePoint m_unavailableSince{};
+    std::optional<TimePoint> m_graceUntil;
     bool m_changed{};
 };
 
--- a/src/bergamottide/serving/regionrule.cpp
+++ b/src/bergamottide/serving/regionrule.cpp
@@ -20,10 +20,10 @@
     if (found == m_regions.end()) {
         return false;
     }
-    const auto names = [&found](const std::vector<RegionName> &regions) {
+    const auto allowsRegion = [&found](const std::vector<RegionName> &regions) {
         return regions.empty() || std::ranges::find(regions, found->second) != regions.end();
     };
-    return names(route.regions) && names(workspace.regions);
+    return allowsRegion(route.regions) && allowsRegion(workspace.regions);
 }
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/regionrule.h
+++ b/src/bergamottide/serving/regionrule.h
@@ -7,7 +7,7 @@
 
 namespace bergamottide::serving {
 
-/*! @brief Keeps requests within the regions that their route and workspace name. */
+/*! @brief Restricts requests to the regions that their route and workspace allow. */
 class RegionRule
 {
 public:
@@ -18,9 +18,10 @@
     explicit RegionRule(std::map<ZoneName, RegionName> regions);
 
     /**
-     * @brief Tells if a request may run in a zone. Where both route and workspace name regions, both bind.
+     * @brief Returns whether a request may run in a zone.
      *
-     * A zone whose region is not known is in none of them.
+     * If both route and workspace list regions, both lists have to contain the region of the zone; an empty list allows
+     * all. A zone of unknown region is only allowed if both lists are empty.
      */
     [[nodiscard]] bool allows(const Route &route, const Workspace &workspace, const ZoneName &zone) const;
 
--- a/test/bergamottide/serving/evacuation.cpp
+++ b/test/bergamottide/serving/evacuation.cpp
@@ -12,22 +12,22 @@
 using namespace bergamottide::serving;
 using test::ServingFixture;
 
-/*! @brief Zones whose endpoints are to get nothing more, and regions in which a request may run. */
+/*! @brief Evacuation of availability zones, and region restrictions of requests. */
 class EvacuationTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EvacuationTest);
-    CPPUNIT_TEST(directoryMarksTheEndpointsOfTheZone);
-    CPPUNIT_TEST(evacuationHoldsWhileTheListIsLostAndForNewEndpoints);
-    CPPUNIT_TEST(evacuatedZoneGetsNoRequestsRepeatsOrStageCalls);
-    CPPUNIT_TEST(streamOfAnEvacuatedZoneGoesOnElsewhere);
-    CPPUNIT_TEST(waitingStageWorkGoesToTheRestOfThePool);
-    CPPUNIT_TEST(lastZoneOfAPoolLeavesATruthfulRefusal);
-    CPPUNIT_TEST(twoEvacuatedZonesLeaveTheThird);
-    CPPUNIT_TEST(requestStaysInTheRegionsOfRouteAndWorkspace);
+    CPPUNIT_TEST(directoryMarksEndpointsOfEvacuatedZone);
+    CPPUNIT_TEST(evacuationAppliesDuringListOutageAndToNewEndpoints);
+    CPPUNIT_TEST(evacuatedZoneGetsNoRequestsRetriesOrStageCalls);
+    CPPUNIT_TEST(brokenStreamOfEvacuatedZoneResumesElsewhere);
+    CPPUNIT_TEST(queuedStageWorkMovesToRemainingEndpoints);
+    CPPUNIT_TEST(requestIsRefusedWhenAllZonesAreEvacuated);
+    CPPUNIT_TEST(requestUsesTheRemainingZone);
+    CPPUNIT_TEST(requestStaysInRegionsOfRouteAndWorkspace);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void directoryMarksTheEndpointsOfTheZone()
+    void directoryMarksEndpointsOfEvacuatedZone()
     {
         EndpointDirectory directory;
         directory.replace(list(), m_now);
@@ -44,7 +44,7 @@
         CPPUNIT_ASSERT(std::ranges::none_of(*restored, &EndpointRecord::isEvacuated));
     }
 
-    void evacuationHoldsWhileTheListIsLostAndForNewEndpoints()
+    void evacuationAppliesDuringListOutageAndToNewEndpoints()
     {
         EndpointDirectory directory;
         directory.setEvacuated({ZoneName{"b"}});
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT(directory.takeChange(m_now)->front().isEvacuated);
     }
 
-    void evacuatedZoneGetsNoRequestsRepeatsOrStageCalls()
+    void evacuatedZoneGetsNoRequestsRetriesOrStageCalls()
     {
         evacuate({"b"});
         for (std::uint64_t call = 1; call <= 20; ++call) {
@@ -71,7 +71,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"encoder-a"}, m_fixture.effect<StartStageCall>()->instance.text());
     }
 
-    void streamOfAnEvacuatedZoneGoesOnElsewhere()
+    void brokenStreamOfEvacuatedZoneResumesElsewhere()
     {
         m_fixture.apply(m_fixture.arrival("/summary/1"));
         const StartRun first = *m_fixture.effect<StartRun>();
@@ -79,16 +79,16 @@
         m_fixture.apply(RunReceived{first.run, "id: 0\ndata: a\n\n"});
         const std::string zone = first.instance.text().substr(first.instance.text().size() - 1);
         evacuate({zone});
-        // What is in progress may go on there.
+        // Requests in progress may finish in the evacuated zone.
         CPPUNIT_ASSERT(m_fixture.effect<CancelRun>() == nullptr);
         m_fixture.apply(RunFailed{first.run, RunFailure::Broken});
-        const auto *again = m_fixture.effect<StartRun>();
-        CPPUNIT_ASSERT(again != nullptr);
-        CPPUNIT_ASSERT(again->instance.text().back() != zone.front());
-        CPPUNIT_ASSERT_EQUAL(std::string{"0"}, again->lastEvent);
+        const auto *resumed = m_fixture.effect<StartRun>();
+        CPPUNIT_ASSERT(resumed != nullptr);
+        CPPUNIT_ASSERT(resumed->instance.text().back() != zone.front());
+        CPPUNIT_ASSERT_EQUAL(std::string{"0"}, resumed->lastEvent);
     }
 
-    void waitingStageWorkGoesToTheRestOfThePool()
+    void queuedStageWorkMovesToRemainingEndpoints()
     {
         std::set<StageCallNumber> calls;
         for (std::uint64_t call = 1; call <= 4; ++call) {
@@ -97,7 +97,7 @@
             m_fixture.apply(draft);
         }
         evacuate({"b"});
-        // Both endpoints are at work; the one that is left gets what waits.
+        // Both endpoints are busy; queued work goes to the remaining one.
         m_fixture.apply(StageCallEnded{StageCallNumber{1}, StageCallEnd::Answered, results(8)});
         m_fixture.apply(StageCallEnded{StageCallNumber{2}, StageCallEnd::Answered, results(8)});
         for (const Effect &effect : m_fixture.effects()) {
@@ -107,7 +107,7 @@
         }
     }
 
-    void lastZoneOfAPoolLeavesATruthfulRefusal()
+    void requestIsRefusedWhenAllZonesAreEvacuated()
     {
         evacuate({"a", "b", "c"});
         m_fixture.apply(m_fixture.arrival("/order/1"));
@@ -117,14 +117,14 @@
         CPPUNIT_ASSERT(refusal->retryAfter > Duration::zero());
     }
 
-    void twoEvacuatedZonesLeaveTheThird()
+    void requestUsesTheRemainingZone()
     {
         evacuate({"a", "b"});
         m_fixture.apply(m_fixture.arrival("/chat/1"));
         CPPUNIT_ASSERT_EQUAL(std::string{"engine-c"}, m_fixture.effect<StartRun>()->instance.text());
     }
 
-    void requestStaysInTheRegionsOfRouteAndWorkspace()
+    void requestStaysInRegionsOfRouteAndWorkspace()
     {
         const RegionRule rule{{{ZoneName{"a"}, RegionName{"north"}}, {ZoneName{"b"}, RegionName{"south"}}}};
         Route route;
@@ -140,7 +140,7 @@
     }
 
 private:
-    /*! @brief One endpoint of each pool in each of three zones. */
+    /*! @brief Returns endpoints of all pools in zones a and b, and of the engine pool also in zone c. */
     [[nodiscard]] static EndpointList list()
     {
         EndpointList out;
