--- a/src/bergamottide/serving/retrybudget.h
+++ b/src/bergamottide/serving/retrybudget.h
@@ -10,69 +10,69 @@
 
 namespace bergamottide::serving {
 
-/*! @brief Bound on work that is sent once more, for each pool. */
+/*! @brief Limits of the retries to each pool. */
 struct RetryBudgetOptions
 {
-    /*! @brief Repeats allowed for each request in a window. */
+    /*! @brief Retries allowed per request within the window. */
     double ratio{0.2};
-    /*! @brief Repeats allowed in a window whatever the number of requests, over all processes. */
+    /*! @brief Retries allowed within the window regardless of the number of requests, in the whole fleet. */
     double slack{50.0};
     Duration window{std::chrono::seconds{10}};
-    /*! @brief Processes that are taken to share the slack until a window has passed: a process that has just started
-     * does not know them all. */
+    /*! @brief Minimum number of processes assumed to share the slack during the first window, before all are known. */
     std::uint32_t sharers{16};
 };
 
 /**
- * @brief Share of this process in the fleet's budget of repeats.
+ * @brief Share of this process in the retry budget of the fleet.
  *
- * Made for endpoints that fail many requests at once: repeats then multiply the load on a pool that has least to spare.
- * Each process spends from the requests that it has sent itself and from its share of the slack, so that no exchange
- * between processes is needed for the sum to hold.
+ * Prevents retry storms: when many requests fail at once, unlimited retries multiply the load on an overloaded pool.
+ * The budget of a process follows from its own requests and its share of the slack, so the limit of the whole fleet
+ * holds without coordination.
  */
 class RetryBudget
 {
 public:
     explicit RetryBudget(RetryBudgetOptions options);
 
-    /*! @brief Notes the first arrival of a request at a pool. */
+    /*! @brief Counts the first attempt of a request at a pool. */
     void sent(const PoolName &pool, TimePoint now);
 
     /**
-     * @brief Takes one repeat from the budget.
-     * @param pool Pool that gets the repeat.
-     * @param now Present time.
-     * @return Whether the repeat may be sent.
+     * @brief Takes one retry from the budget.
+     * @param pool Pool to which the retry is sent.
+     * @param now Current time.
+     * @return Whether the retry is allowed.
      */
     [[nodiscard]] bool take(const PoolName &pool, TimePoint now);
 
     /**
      * @brief Sets the number of processes that share the slack, at least one.
      *
-     * The largest number of the last window counts: those that are no longer seen may have spent their share, or be
-     * behind a partition and spend it now.
+     * The largest number within the last window counts: processes that disappeared may have spent their share already,
+     * or be spending it on the other side of a network partition.
      */
-    void setSharers(std::uint32_t sharers, TimePoint now);
+    void setProcessCount(std::uint32_t processes, TimePoint now);
 
-    /*! @brief Takes over other bounds; what is spent stays spent. */
+    /*! @brief Replaces the limits; retries already spent still count. */
     void setOptions(const RetryBudgetOptions &options);
 
 private:
-    struct Ledger
+    /*! @brief Times of the requests and retries within the window. */
+    struct PoolHistory
     {
-        std::deque<TimePoint> sent;
-        std::deque<TimePoint> repeats;
+        std::deque<TimePoint> requests;
+        std::deque<TimePoint> retries;
     };
 
-    [[nodiscard]] std::uint32_t sharers(TimePoint now);
-    Ledger &pruned(const PoolName &pool, TimePoint now);
+    [[nodiscard]] std::uint32_t effectiveProcessCount(TimePoint now);
+    PoolHistory &prunedHistory(const PoolName &pool, TimePoint now);
 
     RetryBudgetOptions m_options;
-    /*! @brief Numbers of sharers with the times at which they were set, each smaller than the one before. */
-    std::deque<std::pair<TimePoint, std::uint32_t>> m_sharers;
-    /*! @brief When the first number of sharers was set. */
+    /*! @brief Process counts with the times at which they were set, in strictly decreasing order. */
+    std::deque<std::pair<TimePoint, std::uint32_t>> m_processCounts;
+    /*! @brief When the first process count was set. */
     TimePoint m_startedAt{};
-    std::map<PoolName, Ledger> m_ledgers;
+    std::map<PoolName, PoolHistory> m_histories;
 };
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/servingpeers.cpp
+++ b/src/bergamottide/serving/servingpeers.cpp
@@ -221,7 +221,7 @@
         }
     }
     const std::size_t after = m_peers.liveCount(m_now);
-    m_budget.setSharers(static_cast<std::uint32_t>(after + 1), m_now);
+    m_budget.setProcessCount(static_cast<std::uint32_t>(after + 1), m_now);
     if (before != after) {
         m_effects.emplace_back(Observe{Metric::PeersLive, {}, static_cast<double>(after)});
         m_effects.emplace_back(
--- a/test/bergamottide/serving/retrybudget.cpp
+++ b/test/bergamottide/serving/retrybudget.cpp
@@ -5,47 +5,46 @@
 using namespace bergamottide;
 using namespace bergamottide::serving;
 
-/*! @brief How many repeats a process may send of those that the whole fleet may. */
+/*! @brief Share of one process in the retry budget of the fleet. */
 class RetryBudgetTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RetryBudgetTest);
-    CPPUNIT_TEST(sharesOfAllProcessesStayWithinTheSlack);
-    CPPUNIT_TEST(newProcessTakesASmallShare);
-    CPPUNIT_TEST(shareDoesNotGrowWhenPeersAreNoLongerSeen);
-    CPPUNIT_TEST(spentRepeatsComeBackAfterTheWindow);
+    CPPUNIT_TEST(slackIsSharedByAllProcesses);
+    CPPUNIT_TEST(newProcessAssumesManyProcesses);
+    CPPUNIT_TEST(shareDoesNotGrowWhenPeersDisappear);
+    CPPUNIT_TEST(budgetRecoversAfterWindow);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void sharesOfAllProcessesStayWithinTheSlack()
+    void slackIsSharedByAllProcesses()
     {
-        RetryBudget budget = settled(5);
+        RetryBudget budget = budgetAfterFirstWindow(5);
         CPPUNIT_ASSERT_EQUAL(10, spend(budget));
     }
 
-    void newProcessTakesASmallShare()
+    void newProcessAssumesManyProcesses()
     {
         RetryBudget budget{options()};
-        budget.setSharers(1, m_now);
+        budget.setProcessCount(1, m_now);
         CPPUNIT_ASSERT_EQUAL(3, spend(budget));
     }
 
-    /*! @brief Five processes on both sides of a partition would spend five times the slack, each taking itself alone.
-     */
-    void shareDoesNotGrowWhenPeersAreNoLongerSeen()
+    /*! @brief Otherwise five processes isolated by a partition would each use the whole slack. */
+    void shareDoesNotGrowWhenPeersDisappear()
     {
-        RetryBudget budget = settled(5);
+        RetryBudget budget = budgetAfterFirstWindow(5);
         m_now += std::chrono::seconds{1};
-        budget.setSharers(1, m_now);
+        budget.setProcessCount(1, m_now);
         m_now += std::chrono::seconds{8};
         CPPUNIT_ASSERT_EQUAL(10, spend(budget));
         m_now += std::chrono::seconds{11};
-        budget.setSharers(1, m_now);
+        budget.setProcessCount(1, m_now);
         CPPUNIT_ASSERT_EQUAL(50, spend(budget));
     }
 
-    void spentRepeatsComeBackAfterTheWindow()
+    void budgetRecoversAfterWindow()
     {
-        RetryBudget budget = settled(5);
+        RetryBudget budget = budgetAfterFirstWindow(5);
         CPPUNIT_ASSERT_EQUAL(10, spend(budget));
         CPPUNIT_ASSERT_EQUAL(0, spend(budget));
         m_now += std::chrono::seconds{11};
@@ -58,11 +57,11 @@
         return {.ratio = 0.2, .slack = 50.0, .window = std::chrono::seconds{10}, .sharers = 16};
     }
 
-    /*! @brief Returns the budget of a process that has known its peers for longer than a window. */
-    [[nodiscard]] RetryBudget settled(std::uint32_t sharers)
+    /*! @brief Returns the budget of a process that has known its peers for more than one window. */
+    [[nodiscard]] RetryBudget budgetAfterFirstWindow(std::uint32_t processes)
     {
         RetryBudget budget{options()};
-        budget.setSharers(sharers, m_now);
+        budget.setProcessCount(processes, m_now);
         m_now += std::chrono::seconds{11};
         return budget;
     }
