--- a/bench/distribution.cpp
+++ b/bench/distribution.cpp
@@ -1,5 +1,5 @@
-// Cost of one change of the configuration at a reader, at a process that applies a delta, and at a parent, by the
-// size of the document and the number of subscribers. Bytes are those of names and texts of the sections.
+// Cost of one configuration change: reading a document, applying a delta, and sending deltas to subscribers, by the
+// size of the document and the number of subscribers. Byte counts include only the names and texts of the sections.
 
 #include "bergamottide/config/section.h"
 #include "bergamottide/config/store.h"
@@ -16,7 +16,7 @@
 constexpr int pipelines = 6;
 constexpr int models = 16;
 
-/*! @brief Document of the size to design for, but for the number of workspaces. */
+/*! @brief Returns a document of production size with the given number of workspaces. */
 Document documentOf(std::int64_t workspaces)
 {
     Document document;
@@ -50,7 +50,7 @@
     return document;
 }
 
-Document next(Document document)
+Document withNextVersion(Document document)
 {
     ++document.version;
     Workspace &workspace = document.workspaces.begin()->second;
@@ -58,7 +58,7 @@
     return document;
 }
 
-double bytesOf(const ConfigDelta &delta)
+double sizeInBytes(const ConfigDelta &delta)
 {
     std::size_t bytes = 0;
     for (const ConfigDelta::Section &section : delta.sections) {
@@ -71,7 +71,7 @@
 {
     const Document document = documentOf(state.range(0));
     const std::string first = writeDocument(document);
-    const std::string second = writeDocument(next(document));
+    const std::string second = writeDocument(withNextVersion(document));
     ConfigStore before;
     (void)before.offerText(first);
     for (auto unused : state) {
@@ -85,12 +85,12 @@
 {
     const Document document = documentOf(state.range(0));
     const SnapshotPointer base = makeSnapshot(document);
-    const SnapshotPointer to = makeSnapshot(next(document));
+    const SnapshotPointer to = makeSnapshot(withNextVersion(document));
     const ConfigDelta delta = makeDelta(*to, changedSections(base, *to), base->version(), base->digest);
     for (auto unused : state) {
         benchmark::DoNotOptimize(applyDelta(base, delta));
     }
-    state.counters["delta_bytes"] = bytesOf(delta);
+    state.counters["delta_bytes"] = sizeInBytes(delta);
 }
 
 void parentServesSubscribers(benchmark::State &state)
@@ -99,7 +99,7 @@
     ConfigStore store;
     (void)store.offerText(writeDocument(document));
     const ConfigSubscribe old{store.version(), store.digest()};
-    (void)store.offerText(writeDocument(next(document)));
+    (void)store.offerText(writeDocument(withNextVersion(document)));
     double bytes = 0;
     for (auto unused : state) {
         Subscribers subscribers{SubscriberPolicy{}};
@@ -108,8 +108,8 @@
         }
         bytes = 0;
         const TimePoint now{std::chrono::seconds{1}};
-        subscribers.serve(store, {}, now,
-                          [&bytes](const InstanceName &, const ConfigDelta &delta) { bytes += bytesOf(delta); });
+        subscribers.sendDue(store, {}, now,
+                            [&bytes](const InstanceName &, const ConfigDelta &delta) { bytes += sizeInBytes(delta); });
     }
     state.counters["sent_bytes"] = bytes;
 }
--- a/src/bergamottide/membership/configdistribution.cpp
+++ b/src/bergamottide/membership/configdistribution.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-/*! @brief Period of the gauges of version and age. */
-constexpr Duration observePeriod = std::chrono::seconds{5};
+/*! @brief Interval at which the gauges of version and age are updated. */
+constexpr Duration metricsInterval = std::chrono::seconds{5};
 
-/*! @brief Longest time drawn, in means; one draw in fifty is cut by it. */
-constexpr double longestDraw = 4.0;
+/*! @brief Upper bound of a random delay, as a multiple of its mean. */
+constexpr double maxDelayFactor = 4.0;
 
-std::string digestText(std::uint64_t digest)
+std::string formatDigest(std::uint64_t digest)
 {
     return RequestId{0, digest}.text().substr(16);
 }
 
-std::string joined(const std::vector<std::string> &texts)
+std::string join(const std::vector<std::string> &texts)
 {
     std::string out;
     for (const std::string &text : texts) {
@@ -35,28 +35,28 @@
     , m_policy{policy}
     , m_subscribers{policy.subscribers}
     , m_now{now}
-    , m_started{now}
-    , m_observeAt{now + observePeriod}
-    , m_random{m_identity.seed}
+    , m_startedAt{now}
+    , m_metricsAt{now + metricsInterval}
+    , m_randomState{m_identity.seed}
 {
 }
 
 ConfigEffects ConfigDistribution::apply(const ConfigEvent &event, TimePoint now)
 {
     m_now = now;
-    std::visit([this](const auto &one) { handle(one); }, event);
-    updateReading();
-    serve();
+    std::visit([this](const auto &alternative) { handle(alternative); }, event);
+    scheduleRead();
+    updateSubscribers();
     return std::exchange(m_effects, {});
 }
 
 TimePoint ConfigDistribution::nextWakeup() const
 {
-    TimePoint next = m_observeAt;
+    TimePoint next = m_metricsAt;
     if (hasParent()) {
-        next = std::min({next, m_renewAt, m_parentHeard + m_policy.parentSilence});
+        next = std::min({next, m_renewAt, m_parentHeardAt + m_policy.parentTimeout});
     }
-    for (const auto &due : {m_readAt, m_readGivenUp}) {
+    for (const auto &due : {m_readAt, m_readTimeoutAt}) {
         next = due ? std::min(next, *due) : next;
     }
     const auto due = m_subscribers.nextDue(m_store);
@@ -65,7 +65,7 @@
 
 Duration ConfigDistribution::age(TimePoint now) const
 {
-    return now - m_confirmed.value_or(m_started);
+    return now - m_confirmedAt.value_or(m_startedAt);
 }
 
 ConfigStatus ConfigDistribution::status() const
@@ -83,8 +83,8 @@
 
 void ConfigDistribution::handle(const PeerMessage &event)
 {
-    if (const auto *asked = std::get_if<ConfigSubscribe>(&event.message)) {
-        receive(event.from, *asked);
+    if (const auto *request = std::get_if<ConfigSubscribe>(&event.message)) {
+        receive(event.from, *request);
     } else if (const auto *delta = std::get_if<ConfigDelta>(&event.message)) {
         receive(event.from, *delta);
     } else if (const auto *hello = std::get_if<Hello>(&event.message)) {
@@ -96,28 +96,28 @@
 {
     m_subscribers.remove(event.peer);
     if (hasParent() && m_parents[m_parent] == event.peer) {
-        nextParent();
+        switchParent();
     }
 }
 
 void ConfigDistribution::handle(const ViewChanged &event)
 {
     const InstanceName before = hasParent() ? m_parents[m_parent] : InstanceName{};
-    m_order = ZoneOrder{*event.view, m_identity.region, m_identity.zone};
-    m_position = m_order.position(m_identity.instance);
-    // A process that the lagging list does not name yet takes the place after the last one.
-    m_parents = m_order.parents(m_position.value_or(m_order.names().size()), m_policy.arity);
+    m_zoneOrder = ZoneOrder{*event.view, m_identity.region, m_identity.zone};
+    m_position = m_zoneOrder.position(m_identity.instance);
+    // A process that is not listed yet takes the position after the last one.
+    m_parents = m_zoneOrder.parents(m_position.value_or(m_zoneOrder.names().size()), m_policy.arity);
     if (m_parents.empty()) {
-        m_parents = firstOfOtherZones(*event.view, m_identity.region, m_identity.zone);
+        m_parents = rootsOfOtherZones(*event.view, m_identity.region, m_identity.zone);
     }
-    const auto same = std::find(m_parents.begin(), m_parents.end(), before);
-    // The present parent is kept while it may be one: a change of the list shall not move the whole zone.
-    m_parent = same == m_parents.end() ? 0 : static_cast<std::size_t>(same - m_parents.begin());
+    const auto kept = std::find(m_parents.begin(), m_parents.end(), before);
+    // The current parent is kept while it is a candidate, so that a change of the list does not restructure the tree.
+    m_parent = kept == m_parents.end() ? 0 : static_cast<std::size_t>(kept - m_parents.begin());
     if (hasParent() && m_parents[m_parent] != before) {
-        followParent();
+        subscribeToParent();
     }
     if (!hasParent()) {
-        m_cutOff = false;
+        m_isIsolated = false;
     }
 }
 
@@ -125,47 +125,47 @@
 {
     const Verdict verdict = m_store.offerText(event.text);
     if (verdict.acceptance == Acceptance::Accepted || verdict.acceptance == Acceptance::Same) {
-        m_confirmed = m_now;
+        m_confirmedAt = m_now;
     }
-    judge(verdict, "configuration service");
+    reportVerdict(verdict, "configuration service");
     if (verdict.acceptance == Acceptance::Accepted) {
-        announce();
+        notifyParent();
     }
-    readEnded();
+    finishRead();
 }
 
 void ConfigDistribution::handle(const ServiceUnchanged &)
 {
-    m_confirmed = m_now;
-    readEnded();
+    m_confirmedAt = m_now;
+    finishRead();
 }
 
 void ConfigDistribution::handle(const ServiceFailed &)
 {
-    readEnded();
+    finishRead();
 }
 
 void ConfigDistribution::handle(const Tick &)
 {
-    if (hasParent() && m_now >= m_parentHeard + m_policy.parentSilence) {
-        nextParent();
+    if (hasParent() && m_now >= m_parentHeardAt + m_policy.parentTimeout) {
+        switchParent();
     }
     if (hasParent() && m_now >= m_renewAt) {
         subscribe(m_parents[m_parent], m_store.version(), m_store.digest());
     }
-    if (m_now >= m_observeAt) {
-        m_observeAt = m_now + observePeriod;
+    if (m_now >= m_metricsAt) {
+        m_metricsAt = m_now + metricsInterval;
         const double seconds = std::chrono::duration<double>(age(m_now)).count();
         m_effects.emplace_back(Observe{Metric::ConfigAgeSeconds, {}, seconds});
         m_effects.emplace_back(Observe{Metric::ConfigVersion, {}, static_cast<double>(m_store.version())});
     }
 }
 
-void ConfigDistribution::receive(const InstanceName &from, const ConfigSubscribe &asked)
+void ConfigDistribution::receive(const InstanceName &from, const ConfigSubscribe &request)
 {
-    m_subscribers.add(from, asked, m_now);
-    // A child that came to something newer on another way is asked for it in turn.
-    if (asked.version > m_store.version()) {
+    m_subscribers.add(from, request, m_now);
+    // A child that has a newer document from elsewhere becomes the source for this process.
+    if (request.version > m_store.version()) {
         subscribe(from, m_store.version(), m_store.digest());
     }
 }
@@ -173,27 +173,27 @@
 void ConfigDistribution::receive(const InstanceName &from, const ConfigDelta &delta)
 {
     if (hasParent() && m_parents[m_parent] == from) {
-        m_parentHeard = m_now;
-        m_cutOff = false;
+        m_parentHeardAt = m_now;
+        m_isIsolated = false;
     }
     if (delta.version == 0) {
         return;
     }
     m_peerAnswered = true;
     const Verdict verdict = m_store.offerDelta(delta);
-    judge(verdict, from.text());
+    reportVerdict(verdict, from.text());
     const bool fromParent = hasParent() && m_parents[m_parent] == from;
-    // What came from below goes up, and a parent that is found behind is told so.
+    // Documents from children propagate upwards, and a parent that lags behind is notified.
     if (fromParent ? verdict.acceptance == Acceptance::Older : verdict.acceptance == Acceptance::Accepted) {
-        announce();
+        notifyParent();
     }
     if (verdict.acceptance == Acceptance::Mismatched) {
-        // A delta was lost on the way: what is in force here is the base to start from.
+        // An earlier delta was lost: request one that is based on the active document.
         subscribe(from, m_store.version(), m_store.digest());
     }
     if (delta.version == m_store.version() && delta.digest == m_store.digest()) {
         const TimePoint confirmed = m_now - std::max(delta.sourceAge, Duration::zero());
-        m_confirmed = std::max(m_confirmed.value_or(confirmed), confirmed);
+        m_confirmedAt = std::max(m_confirmedAt.value_or(confirmed), confirmed);
     }
 }
 
@@ -211,16 +211,16 @@
 
 bool ConfigDistribution::mayRead() const
 {
-    return m_order.names().empty() || isReader() || m_cutOff;
+    return m_zoneOrder.names().empty() || isReader() || m_isIsolated;
 }
 
-Duration ConfigDistribution::readPeriod() const
+Duration ConfigDistribution::readInterval() const
 {
-    if (m_cutOff && !isReader()) {
-        return m_policy.cutOffRead;
+    if (m_isIsolated && !isReader()) {
+        return m_policy.isolatedReadInterval;
     }
-    const auto readers = std::min(m_policy.readers, m_order.names().size());
-    return std::max(m_policy.leastRead, m_policy.zoneReads * static_cast<Duration::rep>(readers));
+    const auto readers = std::min(m_policy.readers, m_zoneOrder.names().size());
+    return std::max(m_policy.minReadInterval, m_policy.zoneReadInterval * static_cast<Duration::rep>(readers));
 }
 
 bool ConfigDistribution::hasParent() const
@@ -228,138 +228,138 @@
     return !m_parents.empty();
 }
 
-void ConfigDistribution::followParent()
+void ConfigDistribution::subscribeToParent()
 {
-    m_parentHeard = m_now;
+    m_parentHeardAt = m_now;
     subscribe(m_parents[m_parent], m_store.version(), m_store.digest());
 }
 
-void ConfigDistribution::nextParent()
+void ConfigDistribution::switchParent()
 {
     m_parent = (m_parent + 1) % m_parents.size();
-    if (m_parent == 0 && !m_cutOff) {
-        m_cutOff = true;
-        // Without any document nothing can be served, so the first read does not wait long.
-        m_readAt = m_now + drawn(m_store.current() ? readPeriod() : m_policy.startWait);
+    if (m_parent == 0 && !m_isIsolated) {
+        m_isIsolated = true;
+        // Without a document nothing can be served, so the first read uses a short delay.
+        m_readAt = m_now + drawDelay(m_store.current() ? readInterval() : m_policy.peerOnlyPeriod);
     }
-    followParent();
+    subscribeToParent();
 }
 
 void ConfigDistribution::subscribe(const InstanceName &to, std::uint64_t version, std::uint64_t digest)
 {
     const auto last = m_subscribedAt.find(to);
-    if (last != m_subscribedAt.end() && m_now < last->second + m_policy.resubscribe) {
-        m_renewAt = std::min(m_renewAt, last->second + m_policy.resubscribe);
+    if (last != m_subscribedAt.end() && m_now < last->second + m_policy.minSubscribeInterval) {
+        m_renewAt = std::min(m_renewAt, last->second + m_policy.minSubscribeInterval);
         return;
     }
-    std::erase_if(m_subscribedAt, [this](const auto &one) { return one.second + m_policy.renewal < m_now; });
+    std::erase_if(m_subscribedAt, [this](const auto &entry) { return entry.second + m_policy.renewInterval < m_now; });
     m_subscribedAt[to] = m_now;
     if (hasParent() && m_parents[m_parent] == to) {
-        m_renewAt = m_now + m_policy.renewal;
+        m_renewAt = m_now + m_policy.renewInterval;
     }
     m_effects.emplace_back(SendMessage{to, ConfigSubscribe{version, digest}});
 }
 
-void ConfigDistribution::judge(const Verdict &verdict, const std::string &cause)
+void ConfigDistribution::reportVerdict(const Verdict &verdict, const std::string &source)
 {
     if (verdict.acceptance == Acceptance::Accepted) {
         m_refusal.clear();
         const std::string version = std::to_string(verdict.version);
         m_effects.emplace_back(ConfigChanged{m_store.current()->document, m_store.digest()});
-        m_effects.emplace_back(AuditRecord{AuditKind::ConfigAccepted, "version " + version, "from " + cause,
-                                           "digest " + digestText(verdict.digest) + ": " + joined(verdict.changed)});
+        m_effects.emplace_back(AuditRecord{AuditKind::ConfigAccepted, "version " + version, "from " + source,
+                                           "digest " + formatDigest(verdict.digest) + ": " + join(verdict.changed)});
         m_effects.emplace_back(
             LogLine{Severity::Info,
                     Part::Config,
-                    "Document is in force.",
-                    {{"version", version}, {"digest", digestText(verdict.digest)}, {"from", cause}}});
+                    "Configuration document activated.",
+                    {{"version", version}, {"digest", formatDigest(verdict.digest)}, {"from", source}}});
         m_effects.emplace_back(Observe{Metric::ConfigVersion, {}, static_cast<double>(verdict.version)});
         return;
     }
     if (verdict.acceptance == Acceptance::Invalid || verdict.acceptance == Acceptance::Conflicting) {
-        refuse(verdict, cause);
+        reportRefusal(verdict, source);
     }
 }
 
-void ConfigDistribution::refuse(const Verdict &verdict, const std::string &cause)
+void ConfigDistribution::reportRefusal(const Verdict &verdict, const std::string &source)
 {
     std::string detail;
     for (const ConfigIssue &issue : verdict.issues) {
         detail.append(detail.empty() ? "" : "; ").append(issueText(issue));
     }
-    // The same document is offered again and again; one alarm is enough.
-    const std::uint64_t mark = sectionDigest(detail) ^ verdict.digest ^ verdict.version;
-    if (mark == m_alarmed) {
+    // A refused document is usually offered repeatedly; it is reported once.
+    const std::uint64_t refusalKey = sectionDigest(detail) ^ verdict.digest ^ verdict.version;
+    if (refusalKey == m_lastRefusalKey) {
         return;
     }
-    m_alarmed = mark;
+    m_lastRefusalKey = refusalKey;
     m_refusal = verdict.issues;
     const std::string reason{enumName(verdict.acceptance)};
     m_effects.emplace_back(Observe{Metric::ConfigRefusedTotal, {reason}, 1});
     m_effects.emplace_back(AuditRecord{AuditKind::ConfigRefused, "version " + std::to_string(verdict.version),
-                                       "from " + cause,
-                                       reason + " digest " + digestText(verdict.digest) + ' ' + detail});
+                                       "from " + source,
+                                       reason + " digest " + formatDigest(verdict.digest) + ' ' + detail});
     m_effects.emplace_back(LogLine{Severity::Error,
                                    Part::Config,
-                                   "Document is refused, the one in force stays.",
+                                   "Configuration document rejected, the active one is kept.",
                                    {{"version", std::to_string(verdict.version)},
                                     {"reason", reason},
-                                    {"from", cause},
+                                    {"from", source},
                                     {"issues", std::to_string(verdict.issues.size())}}});
 }
 
-void ConfigDistribution::readEnded()
+void ConfigDistribution::finishRead()
 {
-    m_readGivenUp.reset();
+    m_readTimeoutAt.reset();
 }
 
-void ConfigDistribution::updateReading()
+void ConfigDistribution::scheduleRead()
 {
-    if (m_readGivenUp && m_now >= *m_readGivenUp) {
-        readEnded();
+    if (m_readTimeoutAt && m_now >= *m_readTimeoutAt) {
+        finishRead();
     }
     if (!mayRead()) {
         m_readAt.reset();
         return;
     }
     if (!m_readAt) {
-        // Peers are asked first: the service may be stale for long.
-        const TimePoint start = m_started + m_policy.startWait;
-        m_readAt = m_store.current() ? m_now + drawn(readPeriod()) : std::max(m_now, start);
+        // Peers are asked first, since the service may return a stale document.
+        const TimePoint start = m_startedAt + m_policy.peerOnlyPeriod;
+        m_readAt = m_store.current() ? m_now + drawDelay(readInterval()) : std::max(m_now, start);
     }
-    if (m_readGivenUp || m_now < *m_readAt) {
+    if (m_readTimeoutAt || m_now < *m_readAt) {
         return;
     }
-    m_readAt = m_now + drawn(readPeriod());
-    m_readGivenUp = m_now + m_policy.readTimeout;
+    m_readAt = m_now + drawDelay(readInterval());
+    m_readTimeoutAt = m_now + m_policy.readTimeout;
     ++m_reads;
     m_effects.emplace_back(ReadService{m_store.version()});
 }
 
-void ConfigDistribution::announce()
+void ConfigDistribution::notifyParent()
 {
     if (hasParent()) {
         subscribe(m_parents[m_parent], m_store.version(), m_store.digest());
     }
 }
 
-void ConfigDistribution::serve()
+void ConfigDistribution::updateSubscribers()
 {
-    m_subscribers.serve(m_store, age(m_now), m_now, [this](const InstanceName &to, ConfigDelta delta) {
+    m_subscribers.sendDue(m_store, age(m_now), m_now, [this](const InstanceName &to, ConfigDelta delta) {
         m_effects.emplace_back(SendMessage{to, std::move(delta)});
     });
 }
 
-Duration ConfigDistribution::drawn(Duration mean)
+Duration ConfigDistribution::drawDelay(Duration mean)
 {
-    // Steps of the splitmix64 generator.
-    m_random += 0x9e3779b97f4a7c15ULL;
-    std::uint64_t mixed = m_random;
+    // One step of the splitmix64 generator.
+    m_randomState += 0x9e3779b97f4a7c15ULL;
+    std::uint64_t mixed = m_randomState;
     mixed = (mixed ^ (mixed >> 30U)) * 0xbf58476d1ce4e5b9ULL;
     mixed = (mixed ^ (mixed >> 27U)) * 0x94d049bb133111ebULL;
     mixed ^= mixed >> 31U;
     const double uniform = (static_cast<double>(mixed >> 11U) + 1.0) * 0x1.0p-53;
-    const double factor = std::min(-std::log(uniform), longestDraw);
+    const double factor = std::min(-std::log(uniform), maxDelayFactor);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, Duration::period>{mean} * factor);
 }
 
--- a/src/bergamottide/membership/instanceview.h
+++ b/src/bergamottide/membership/instanceview.h
@@ -8,10 +8,12 @@
 
 namespace bergamottide {
 
-/*! @brief Role of an instance that the system talks to. */
+/*! @brief Role of a process of the system on its instance. */
 enum class Role : std::uint8_t
 {
+    /*! @brief Accepts requests from callers. */
     Entry,
+    /*! @brief Runs beside an endpoint and forwards requests to it. */
     Side
 };
 
@@ -21,27 +23,27 @@
     static constexpr std::array<std::string_view, 2> names{"entry", "side"};
 };
 
-/*! @brief One line of the platform's instance list. */
+/*! @brief Entry of the platform's instance list. */
 struct Instance
 {
     InstanceName name;
     Role role{};
     RegionName region;
     ZoneName zone;
-    /*! @brief IP number and port of the process of the system, `ip:port`. */
+    /*! @brief Address of the process of the system, `ip:port`. */
     std::string address;
-    /*! @brief Pool of the endpoint beside a side; empty for an entry. */
+    /*! @brief Pool of the endpoint on the instance; empty for an entry. */
     PoolName pool;
-    /*! @brief The platform has announced that the instance leaves. */
+    /*! @brief The platform has announced the removal of the instance. */
     bool leaving{};
 
     [[nodiscard]] bool operator==(const Instance &) const = default;
 };
 
-/*! @brief The instance list as last heard; it lags behind the truth. */
+/*! @brief Last received instance list; it may be stale. */
 struct InstanceView
 {
-    /*! @brief Revision of the list; grows with every change. */
+    /*! @brief Revision of the list; increases with every change. */
     std::uint64_t revision{};
     std::map<InstanceName, Instance> instances;
 };
--- a/src/bergamottide/membership/subscribers.cpp
+++ b/src/bergamottide/membership/subscribers.cpp
@@ -12,14 +12,14 @@
 
 void Subscribers::add(const InstanceName &name, const ConfigSubscribe &subscribe, TimePoint now)
 {
-    if (m_subscribers.size() >= m_policy.limit && !m_subscribers.contains(name)) {
+    if (m_subscribers.size() >= m_policy.maxSubscribers && !m_subscribers.contains(name)) {
         return;
     }
     Subscriber &subscriber = m_subscribers[name];
     subscriber.version = subscribe.version;
     subscriber.digest = subscribe.digest;
     subscriber.leaseEnd = now + m_policy.lease;
-    subscriber.asked = true;
+    subscriber.awaitsAnswer = true;
 }
 
 void Subscribers::remove(const InstanceName &name)
@@ -27,17 +27,17 @@
     m_subscribers.erase(name);
 }
 
-void Subscribers::serve(const ConfigStore &store, Duration sourceAge, TimePoint now, const Send &send)
+void Subscribers::sendDue(const ConfigStore &store, Duration sourceAge, TimePoint now, const Send &send)
 {
     std::erase_if(m_subscribers, [now](const auto &entry) { return entry.second.leaseEnd <= now; });
     for (auto &[name, subscriber] : m_subscribers) {
-        if (dueOf(subscriber, store) > now) {
+        if (dueAt(subscriber, store) > now) {
             continue;
         }
         ConfigDelta delta = deltaFor(subscriber, store, now);
         delta.sourceAge = sourceAge;
         subscriber.lastSent = now;
-        subscriber.asked = false;
+        subscriber.awaitsAnswer = false;
         send(name, std::move(delta));
     }
 }
@@ -46,35 +46,35 @@
 {
     std::optional<TimePoint> next;
     for (const auto &[name, subscriber] : m_subscribers) {
-        const TimePoint due = std::min(dueOf(subscriber, store), subscriber.leaseEnd);
+        const TimePoint due = std::min(dueAt(subscriber, store), subscriber.leaseEnd);
         next = next ? std::min(*next, due) : due;
     }
     return next;
 }
 
-TimePoint Subscribers::dueOf(const Subscriber &subscriber, const ConfigStore &store) const
+TimePoint Subscribers::dueAt(const Subscriber &subscriber, const ConfigStore &store) const
 {
-    const bool soon = subscriber.asked || lags(subscriber, store);
-    return subscriber.lastSent + (soon ? m_policy.pace : m_policy.heartbeat);
+    const bool isUrgent = subscriber.awaitsAnswer || isBehind(subscriber, store);
+    return subscriber.lastSent + (isUrgent ? m_policy.minDeltaInterval : m_policy.heartbeatInterval);
 }
 
-bool Subscribers::lags(const Subscriber &subscriber, const ConfigStore &store)
+bool Subscribers::isBehind(const Subscriber &subscriber, const ConfigStore &store)
 {
     return subscriber.version < store.version();
 }
 
 ConfigDelta Subscribers::deltaFor(Subscriber &subscriber, const ConfigStore &store, TimePoint now) const
 {
-    if (!lags(subscriber, store)) {
-        // Empty: it only says what is in force here, also to a subscriber that has something newer or other.
+    if (!isBehind(subscriber, store)) {
+        // Empty: it only states the active version, also if the subscriber has a newer or conflicting one.
         return ConfigDelta{store.version(), store.digest(), store.version(), store.digest(), {}, {}};
     }
     ConfigDelta delta = store.deltaSince(subscriber.version, subscriber.digest);
-    if (delta.base == 0 && subscriber.wholeAllowed > now) {
+    if (delta.base == 0 && subscriber.nextWholeDocumentAt > now) {
         return ConfigDelta{0, 0, 0, 0, {}, {}};
     }
     if (delta.base == 0) {
-        subscriber.wholeAllowed = now + m_policy.wholePause;
+        subscriber.nextWholeDocumentAt = now + m_policy.minWholeDocumentInterval;
     }
     subscriber.version = delta.version;
     subscriber.digest = delta.digest;
--- a/src/bergamottide/membership/subscribers.h
+++ b/src/bergamottide/membership/subscribers.h
@@ -11,68 +11,65 @@
 
 namespace bergamottide {
 
-/*! @brief How a process serves those that subscribe to its documents. */
+/*! @brief Parameters of the delivery to subscribers. */
 struct SubscriberPolicy
 {
     /*!
-     * @brief Least time between two deltas to one subscriber.
+     * @brief Minimum time between two deltas to one subscriber.
      *
-     * Changes that come meanwhile travel together; at bursts of 20 changes a second this
-     * halves the bytes, as a section changed twice travels once.
+     * Changes in between are coalesced into one delta.
      */
-    Duration pace{std::chrono::milliseconds{500}};
-    /*! @brief Silence after which a subscriber gets an empty delta, so that it can tell a quiet parent from a dead one.
-     */
-    Duration heartbeat{std::chrono::seconds{1}};
-    /*! @brief Time after which a subscriber that does not renew is forgotten. */
+    Duration minDeltaInterval{std::chrono::milliseconds{500}};
+    /*! @brief Silence after which a subscriber gets an empty delta as a sign of life. */
+    Duration heartbeatInterval{std::chrono::seconds{1}};
+    /*! @brief Time after which a subscription expires unless it is renewed. */
     Duration lease{std::chrono::seconds{30}};
     /*!
-     * @brief Least time between two whole documents to one subscriber.
+     * @brief Minimum time between two whole documents to one subscriber.
      *
-     * A whole document is a thousand times a delta; a subscriber that cannot apply what it
-     * gets must not make its parent send it in a loop.
+     * Whole documents are far larger than deltas; a subscriber that fails to apply one must not cause a send loop.
      */
-    Duration wholePause{std::chrono::seconds{2}};
-    /*! @brief Subscribers at most; with the tree's arity it is reached only when many parents have died. */
-    std::size_t limit{256};
+    Duration minWholeDocumentInterval{std::chrono::seconds{2}};
+    /*! @brief Maximum number of subscribers; it exceeds the arity of the tree to take over from failed parents. */
+    std::size_t maxSubscribers{256};
 };
 
-/*! @brief The processes that get documents from this one, and what each of them has. */
+/*! @brief Processes subscribed to the documents of this one, with the version that each of them has. */
 class Subscribers
 {
 public:
-    /*! @brief Sends a message to a process. */
+    /*! @brief Sends a delta to a subscriber. */
     using Send = std::function<void(const InstanceName &to, ConfigDelta delta)>;
 
     /**
      * @brief Starts without subscribers.
-     * @param policy How they are served.
+     * @param policy Parameters of the delivery.
      */
     explicit Subscribers(SubscriberPolicy policy);
 
     /**
-     * @brief Adds or renews a subscriber; it is answered at the next `serve`.
+     * @brief Adds or renews a subscriber; `sendDue` sends the response. A new one beyond the limit is ignored.
      * @param name Subscriber.
-     * @param subscribe What it has.
-     * @param now Present time.
+     * @param subscribe Version and digest that it has.
+     * @param now Current time.
      */
     void add(const InstanceName &name, const ConfigSubscribe &subscribe, TimePoint now);
 
-    /*! @brief Forgets a subscriber. */
+    /*! @brief Removes a subscriber. */
     void remove(const InstanceName &name);
 
     /**
-     * @brief Sends what is due.
-     * @param store Document in force.
+     * @brief Removes expired subscribers and sends the deltas that are due.
+     * @param store Store with the active document.
      * @param sourceAge Time since that document was confirmed.
-     * @param now Present time.
-     * @param send Takes each delta.
+     * @param now Current time.
+     * @param send Called for each delta.
      */
-    void serve(const ConfigStore &store, Duration sourceAge, TimePoint now, const Send &send);
+    void sendDue(const ConfigStore &store, Duration sourceAge, TimePoint now, const Send &send);
 
     /**
-     * @brief Returns the time at which `serve` has something to do, if any.
-     * @param store Document in force.
+     * @brief Returns the time at which `sendDue` has to be called next, if there are subscribers.
+     * @param store Store with the active document.
      */
     [[nodiscard]] std::optional<TimePoint> nextDue(const ConfigStore &store) const;
 
@@ -85,18 +82,19 @@
 private:
     struct Subscriber
     {
-        /*! @brief Document that it has if nothing was lost on the way; a loss shows at the next heartbeat. */
+        /*! @brief Version that it has unless a message was lost; the next heartbeat reveals a loss. */
         std::uint64_t version{};
         std::uint64_t digest{};
         TimePoint leaseEnd{};
         TimePoint lastSent{};
-        TimePoint wholeAllowed{};
-        /*! @brief It has asked and was not answered yet. */
-        bool asked{};
+        /*! @brief Earliest time of the next whole document. */
+        TimePoint nextWholeDocumentAt{};
+        /*! @brief Its last subscription message was not answered yet. */
+        bool awaitsAnswer{};
     };
 
-    [[nodiscard]] TimePoint dueOf(const Subscriber &subscriber, const ConfigStore &store) const;
-    [[nodiscard]] static bool lags(const Subscriber &subscriber, const ConfigStore &store);
+    [[nodiscard]] TimePoint dueAt(const Subscriber &subscriber, const ConfigStore &store) const;
+    [[nodiscard]] static bool isBehind(const Subscriber &subscriber, const ConfigStore &store);
     [[nodiscard]] ConfigDelta deltaFor(Subscriber &subscriber, const ConfigStore &store, TimePoint now) const;
 
     SubscriberPolicy m_policy;
--- a/src/bergamottide/membership/zoneorder.cpp
+++ b/src/bergamottide/membership/zoneorder.cpp
@@ -11,22 +11,22 @@
 
 namespace {
 
-/*! @brief Neighbours tried after the first parent has failed. */
-constexpr std::size_t neighbours = 3;
+/*! @brief Parent candidates of a process, apart from the root. */
+constexpr std::size_t maxTreeCandidates = 3;
 
 struct Ranked
 {
     Role role{};
-    std::uint64_t rank{};
+    std::uint64_t hash{};
     InstanceName name;
 };
 
-std::uint64_t rankOf(const InstanceName &name)
+std::uint64_t hashOf(const InstanceName &name)
 {
     return XXH3_64bits(name.text().data(), name.text().size());
 }
 
-void addOnce(const InstanceName &name, std::vector<InstanceName> &names)
+void addIfAbsent(const InstanceName &name, std::vector<InstanceName> &names)
 {
     if (std::find(names.begin(), names.end(), name) == names.end()) {
         names.push_back(name);
@@ -42,13 +42,13 @@
         if (instance.leaving || instance.region != region || instance.zone != zone) {
             continue;
         }
-        ranked.push_back({instance.role, rankOf(name), name});
+        ranked.push_back({instance.role, hashOf(name), name});
     }
     std::sort(ranked.begin(), ranked.end(), [](const Ranked &a, const Ranked &b) {
-        return std::tie(a.role, a.rank, a.name) < std::tie(b.role, b.rank, b.name);
+        return std::tie(a.role, a.hash, a.name) < std::tie(b.role, b.hash, b.name);
     });
-    for (Ranked &one : ranked) {
-        m_names.push_back(std::move(one.name));
+    for (Ranked &process : ranked) {
+        m_names.push_back(std::move(process.name));
     }
 }
 
@@ -63,41 +63,41 @@
 
 std::vector<InstanceName> ZoneOrder::parents(std::size_t position, std::size_t arity) const
 {
-    std::vector<InstanceName> found;
+    std::vector<InstanceName> candidates;
     if (position == 0) {
-        return found;
+        return candidates;
     }
     const std::size_t first = (position - 1) / arity;
-    for (std::size_t step = 0; step < neighbours; ++step) {
+    for (std::size_t step = 0; step < maxTreeCandidates; ++step) {
         const std::size_t candidate = first + step * (1 + position % arity);
         if (candidate < position) {
-            addOnce(m_names[candidate], found);
+            addIfAbsent(m_names[candidate], candidates);
         }
     }
-    addOnce(m_names.front(), found);
-    return found;
+    addIfAbsent(m_names.front(), candidates);
+    return candidates;
 }
 
-std::vector<InstanceName> firstOfOtherZones(const InstanceView &view, const RegionName &region, const ZoneName &zone)
+std::vector<InstanceName> rootsOfOtherZones(const InstanceView &view, const RegionName &region, const ZoneName &zone)
 {
-    using Place = std::pair<RegionName, ZoneName>;
-    std::set<Place> places;
+    using ZoneKey = std::pair<RegionName, ZoneName>;
+    std::set<ZoneKey> zones;
     for (const auto &[name, instance] : view.instances) {
-        places.emplace(instance.region, instance.zone);
+        zones.emplace(instance.region, instance.zone);
     }
-    const Place own{region, zone};
-    places.erase(own);
-    // The ring begins with the place that follows the own one.
-    std::vector<Place> ring{places.lower_bound(own), places.end()};
-    ring.insert(ring.end(), places.begin(), places.lower_bound(own));
-    std::vector<InstanceName> found;
-    for (const Place &place : ring) {
-        const ZoneOrder order{view, place.first, place.second};
+    const ZoneKey own{region, zone};
+    zones.erase(own);
+    // The cyclic order starts with the zone that follows the own one.
+    std::vector<ZoneKey> ring{zones.lower_bound(own), zones.end()};
+    ring.insert(ring.end(), zones.begin(), zones.lower_bound(own));
+    std::vector<InstanceName> roots;
+    for (const ZoneKey &zoneKey : ring) {
+        const ZoneOrder order{view, zoneKey.first, zoneKey.second};
         if (!order.names().empty()) {
-            found.push_back(order.names().front());
+            roots.push_back(order.names().front());
         }
     }
-    return found;
+    return roots;
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/membership/zoneorder.h
+++ b/src/bergamottide/membership/zoneorder.h
@@ -11,26 +11,25 @@
 /**
  * @brief Order of the processes of one availability zone, the same at each of them.
  *
- * Entries come before sides, and within a role a hash of the name decides (rendezvous
- * hashing). Whether one process comes before another depends on the two alone, never on the
- * rest of the list: however stale the views of some processes are, no two of them can each
- * take the other for their parent, so a tree built from the order has no cycle.
+ * Entries come before sides; within a role a hash of the name decides. The relative order of two processes depends on
+ * these two only, not on the rest of the list. So even with stale views no two processes can each become the parent of
+ * the other, and a tree built from the order has no cycle.
  */
 class ZoneOrder
 {
 public:
-    /*! @brief Makes an empty order. */
+    /*! @brief Creates an empty order. */
     ZoneOrder() = default;
 
     /**
      * @brief Orders the processes of a zone that are not leaving.
-     * @param view Instance list as last heard.
+     * @param view Last received instance list.
      * @param region Region of the zone.
-     * @param zone Zone.
+     * @param zone Availability zone.
      */
     ZoneOrder(const InstanceView &view, const RegionName &region, const ZoneName &zone);
 
-    /*! @brief Returns the processes, the first one first. */
+    /*! @brief Returns the processes in order. */
     [[nodiscard]] const std::vector<InstanceName> &names() const noexcept
     {
         return m_names;
@@ -40,14 +39,14 @@
     [[nodiscard]] std::optional<std::size_t> position(const InstanceName &name) const;
 
     /**
-     * @brief Names the processes that one may take as its parent, in the order to try them.
+     * @brief Returns the parent candidates of a process in order of preference.
      *
-     * The processes form a tree in which each has up to `arity` children; the first one has
-     * no parent. After its own place in the tree a process tries some next to it and then the
-     * first one, so that the children of a process that died spread instead of meeting at one.
+     * The processes form a tree in which each has up to `arity` children; the first process is the root and has no
+     * parent. Alternatives are other processes near the regular parent, and finally the root. Siblings have different
+     * alternatives, so that the children of a failed process do not all move to the same one.
      *
      * @param position Position of the process, at most the number of processes.
-     * @param arity Children of one process, at least one.
+     * @param arity Maximum number of children, at least one.
      */
     [[nodiscard]] std::vector<InstanceName> parents(std::size_t position, std::size_t arity) const;
 
@@ -56,12 +55,12 @@
 };
 
 /**
- * @brief Names the first processes of the other zones, beginning after the own one, in a ring.
- * @param view Instance list as last heard.
+ * @brief Returns the tree roots of the other zones, in cyclic order that starts after the own zone.
+ * @param view Last received instance list.
  * @param region Region of the own zone.
  * @param zone Own zone.
  */
-[[nodiscard]] std::vector<InstanceName> firstOfOtherZones(const InstanceView &view, const RegionName &region,
+[[nodiscard]] std::vector<InstanceName> rootsOfOtherZones(const InstanceView &view, const RegionName &region,
                                                           const ZoneName &zone);
 
 } // namespace bergamottide
--- a/test/bergamottide/membership/configdistribution.cpp
+++ b/test/bergamottide/membership/configdistribution.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr Duration second = std::chrono::seconds{1};
-/*! @brief Bound for one zone: 500 reads a second shared by 31 zones; two are meant. */
-constexpr std::uint64_t readsPerSecond = 16;
+/*! @brief Share of one zone in the rate limit of the configuration service. */
+constexpr std::uint64_t maxReadsPerSecond = 16;
 
 Document documentOf(std::uint64_t version)
 {
@@ -33,7 +33,7 @@
     return document;
 }
 
-/*! @brief Zone of processes whose messages are lost, late and out of order, with a service that may be stale. */
+/*! @brief Simulates a zone with lost, delayed and reordered messages and a configuration service that may be stale. */
 class Zone
 {
 public:
@@ -56,8 +56,8 @@
     {
         m_processes[name] = std::make_unique<ConfigDistribution>(ConfigIdentity{.instance = name, .seed = m_random()},
                                                                  DistributionPolicy{}, m_now);
-        m_inForce[name] = 0;
-        feed(name, ViewChanged{m_view});
+        m_activeVersion[name] = 0;
+        apply(name, ViewChanged{m_view});
     }
 
     void stop(const InstanceName &name)
@@ -70,9 +70,9 @@
         m_published = version;
     }
 
-    void serviceDown(bool down)
+    void setServiceDown(bool down)
     {
-        m_down = down;
+        m_isServiceDown = down;
     }
 
     void run(Duration time)
@@ -84,13 +84,13 @@
             for (const auto &[name, instance] : m_view->instances) {
                 const auto process = m_processes.find(name);
                 if (process != m_processes.end() && process->second->nextWakeup() <= m_now) {
-                    feed(name, Tick{});
+                    apply(name, Tick{});
                 }
             }
         }
     }
 
-    [[nodiscard]] std::size_t withVersion(std::uint64_t version) const
+    [[nodiscard]] std::size_t countWithVersion(std::uint64_t version) const
     {
         std::size_t count = 0;
         for (const auto &[name, process] : m_processes) {
@@ -110,7 +110,7 @@
     }
 
     std::uint64_t reads{};
-    bool reverted{};
+    bool hasReverted{};
     std::size_t conflicts{};
 
 private:
@@ -120,18 +120,18 @@
         ConfigEvent event;
     };
 
-    void feed(const InstanceName &to, const ConfigEvent &event)
+    void apply(const InstanceName &to, const ConfigEvent &event)
     {
         const auto process = m_processes.find(to);
         if (process == m_processes.end()) {
             return;
         }
         for (const ConfigEffect &effect : process->second->apply(event, m_now)) {
-            carryOut(to, effect);
+            execute(to, effect);
         }
     }
 
-    void carryOut(const InstanceName &from, const ConfigEffect &effect)
+    void execute(const InstanceName &from, const ConfigEffect &effect)
     {
         if (const auto *sent = std::get_if<SendMessage>(&effect)) {
             send(sent->to, PeerMessage{from, sent->message});
@@ -139,8 +139,8 @@
             ++reads;
             answer(from, std::get<ReadService>(effect).after);
         } else if (const auto *changed = std::get_if<ConfigChanged>(&effect)) {
-            reverted = reverted || changed->document->version <= m_inForce[from];
-            m_inForce[from] = changed->document->version;
+            hasReverted = hasReverted || changed->document->version <= m_activeVersion[from];
+            m_activeVersion[from] = changed->document->version;
         } else if (const auto *record = std::get_if<AuditRecord>(&effect)) {
             conflicts += record->kind == AuditKind::ConfigRefused ? 1 : 0;
         }
@@ -158,7 +158,7 @@
     void answer(const InstanceName &to, std::uint64_t after)
     {
         const auto due = m_now + std::chrono::milliseconds{5};
-        if (m_down) {
+        if (m_isServiceDown) {
             m_inFlight.emplace(due, Delivery{to, ServiceFailed{}});
             return;
         }
@@ -177,7 +177,7 @@
         while (!m_inFlight.empty() && m_inFlight.begin()->first <= m_now) {
             const Delivery delivery = m_inFlight.begin()->second;
             m_inFlight.erase(m_inFlight.begin());
-            feed(delivery.to, delivery.event);
+            apply(delivery.to, delivery.event);
         }
     }
 
@@ -186,10 +186,10 @@
     TimePoint m_now{second};
     std::shared_ptr<const InstanceView> m_view;
     std::map<InstanceName, std::unique_ptr<ConfigDistribution>> m_processes;
-    std::map<InstanceName, std::uint64_t> m_inForce;
+    std::map<InstanceName, std::uint64_t> m_activeVersion;
     std::multimap<TimePoint, Delivery> m_inFlight;
     std::uint64_t m_published{};
-    bool m_down{};
+    bool m_isServiceDown{};
 };
 
 } // namespace
@@ -197,18 +197,18 @@
 class ConfigDistributionTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ConfigDistributionTest);
-    CPPUNIT_TEST(orderOfTwoDependsOnThemAlone);
-    CPPUNIT_TEST(changeIsInForceEverywhereWithinSeconds);
-    CPPUNIT_TEST(changeReachesAllPastADeadParent);
-    CPPUNIT_TEST(startingProcessTrustsPeersBeforeAStaleService);
+    CPPUNIT_TEST(orderOfTwoProcessesIgnoresOthers);
+    CPPUNIT_TEST(changeIsActiveEverywhereWithinSeconds);
+    CPPUNIT_TEST(changeBypassesFailedParents);
+    CPPUNIT_TEST(startingProcessPrefersPeersToStaleService);
     CPPUNIT_TEST(processWithoutPeersIsUnconfirmed);
-    CPPUNIT_TEST(cutOffProcessReadsRarely);
-    CPPUNIT_TEST(conflictIsRefusedAndAlarmedOnce);
-    CPPUNIT_TEST(propertyNothingRevertsAndAllConverge);
+    CPPUNIT_TEST(isolatedProcessReadsAtLowRate);
+    CPPUNIT_TEST(conflictIsReportedOnce);
+    CPPUNIT_TEST(propertyVersionsNeverDecreaseAndAllConverge);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void orderOfTwoDependsOnThemAlone()
+    void orderOfTwoProcessesIgnoresOthers()
     {
         InstanceView whole;
         for (int index = 0; index < 30; ++index) {
@@ -230,37 +230,37 @@
         }
     }
 
-    void changeIsInForceEverywhereWithinSeconds()
+    void changeIsActiveEverywhereWithinSeconds()
     {
         for (std::uint64_t seed = 1; seed <= 5; ++seed) {
             Zone zone{140, seed, 0.01};
             zone.publish(1);
             zone.run(20 * second);
-            CPPUNIT_ASSERT_EQUAL(zone.size(), zone.withVersion(1));
+            CPPUNIT_ASSERT_EQUAL(zone.size(), zone.countWithVersion(1));
             const std::uint64_t before = zone.reads;
             for (std::uint64_t version = 2; version <= 5; ++version) {
                 zone.publish(version);
                 zone.run(11 * second);
-                CPPUNIT_ASSERT_EQUAL(zone.size(), zone.withVersion(version));
+                CPPUNIT_ASSERT_EQUAL(zone.size(), zone.countWithVersion(version));
             }
-            CPPUNIT_ASSERT(zone.reads - before < std::uint64_t{44} * readsPerSecond);
+            CPPUNIT_ASSERT(zone.reads - before < std::uint64_t{44} * maxReadsPerSecond);
         }
     }
 
-    void changeReachesAllPastADeadParent()
+    void changeBypassesFailedParents()
     {
         Zone zone{40, 2, 0.0};
         zone.publish(1);
         zone.run(20 * second);
-        // The entries are the first three of the order, with everyone else below them.
+        // The three entries come first in the order, so these two are parents.
         zone.stop(InstanceName{"i0"});
         zone.stop(InstanceName{"i1"});
         zone.publish(2);
         zone.run(11 * second);
-        CPPUNIT_ASSERT_EQUAL(zone.size(), zone.withVersion(2));
+        CPPUNIT_ASSERT_EQUAL(zone.size(), zone.countWithVersion(2));
     }
 
-    void startingProcessTrustsPeersBeforeAStaleService()
+    void startingProcessPrefersPeersToStaleService()
     {
         Zone zone{6, 3, 0.0};
         zone.publish(9);
@@ -269,9 +269,9 @@
         zone.stop(InstanceName{"i4"});
         zone.start(InstanceName{"i4"});
         zone.run(5 * second);
-        CPPUNIT_ASSERT_EQUAL(zone.size(), zone.withVersion(9));
+        CPPUNIT_ASSERT_EQUAL(zone.size(), zone.countWithVersion(9));
         CPPUNIT_ASSERT(!zone.at("i4").status().unconfirmed);
-        CPPUNIT_ASSERT(!zone.reverted);
+        CPPUNIT_ASSERT(!zone.hasReverted);
     }
 
     void processWithoutPeersIsUnconfirmed()
@@ -279,11 +279,11 @@
         Zone zone{1, 4, 0.0};
         zone.publish(3);
         zone.run(5 * second);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.withVersion(3));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.countWithVersion(3));
         CPPUNIT_ASSERT(zone.at("i0").status().unconfirmed);
     }
 
-    void cutOffProcessReadsRarely()
+    void isolatedProcessReadsAtLowRate()
     {
         ConfigDistribution process{{.instance = InstanceName{"z"}, .seed = 1}, {.readers = 1}, TimePoint{}};
         auto view = std::make_shared<InstanceView>();
@@ -308,43 +308,43 @@
         CPPUNIT_ASSERT(process.current());
     }
 
-    void conflictIsRefusedAndAlarmedOnce()
+    void conflictIsReportedOnce()
     {
         ConfigDistribution process{{.instance = InstanceName{"a"}}, {}, TimePoint{}};
         (void)process.apply(ServiceDocument{writeDocument(documentOf(4))}, TimePoint{});
         Document other = documentOf(4);
         other.policy.queueLimit = 7;
-        std::size_t alarms = 0;
+        std::size_t reports = 0;
         for (int count = 0; count < 3; ++count) {
             for (const ConfigEffect &effect : process.apply(ServiceDocument{writeDocument(other)}, TimePoint{second})) {
                 const auto *record = std::get_if<AuditRecord>(&effect);
-                alarms += record != nullptr && record->kind == AuditKind::ConfigRefused ? 1 : 0;
+                reports += record != nullptr && record->kind == AuditKind::ConfigRefused ? 1 : 0;
                 CPPUNIT_ASSERT(!std::holds_alternative<ConfigChanged>(effect));
             }
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, alarms);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, reports);
         CPPUNIT_ASSERT_EQUAL(documentDigest(documentOf(4)), process.status().digest);
     }
 
-    void propertyNothingRevertsAndAllConverge()
+    void propertyVersionsNeverDecreaseAndAllConverge()
     {
         for (std::uint64_t seed = 1; seed <= 10; ++seed) {
             Zone zone{20, seed, 0.2};
             std::mt19937_64 random{seed};
             for (std::uint64_t version = 1; version <= 20; ++version) {
                 zone.publish(version);
-                zone.serviceDown(random() % 4 == 0);
+                zone.setServiceDown(random() % 4 == 0);
                 const InstanceName victim{"i" + std::to_string(random() % 20)};
                 zone.stop(victim);
                 zone.run(std::chrono::milliseconds{random() % 3000});
                 zone.start(victim);
             }
-            zone.serviceDown(false);
+            zone.setServiceDown(false);
             zone.run(60 * second);
             const std::string message = "seed " + std::to_string(seed);
-            CPPUNIT_ASSERT_MESSAGE(message, !zone.reverted);
+            CPPUNIT_ASSERT_MESSAGE(message, !zone.hasReverted);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(message, std::size_t{0}, zone.conflicts);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(message, zone.size(), zone.withVersion(20));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(message, zone.size(), zone.countWithVersion(20));
         }
     }
 };
