--- a/src/bergamottide/serving/heartbeat.h
+++ b/src/bergamottide/serving/heartbeat.h
@@ -11,46 +11,46 @@
 
 /**
  * @file
- * @brief What processes tell each other several times a second.
+ * @brief Heartbeats that the processes of a fleet exchange.
  */
 namespace bergamottide::serving {
 
-/*! @brief Another process of the same kind. */
+/*! @brief Identity and properties of a process of the fleet. */
 struct PeerInfo
 {
     InstanceName instance;
-    /*! @brief Where it listens for its peers. */
+    /*! @brief Address at which it accepts heartbeats and tasks of its peers. */
     std::string address;
-    /*! @brief What its instance can carry, in cores: its processor share, or what its link allows if that is less. */
+    /*! @brief Capacity of its instance in cores: its CPU share, or less if its network link is the bottleneck. */
     double strength{1.0};
     ZoneName zone;
 
     [[nodiscard]] bool operator==(const PeerInfo &other) const = default;
 };
 
-/*! @brief A peer as others tell of it. */
+/*! @brief A live peer as listed in a heartbeat. */
 struct RosterEntry
 {
     PeerInfo peer;
-    /*! @brief It knows what is served and by whom, and can keep queues. */
+    /*! @brief It has a configuration and a list of endpoints, and can own queues. */
     bool ownsQueues{};
 };
 
-/*! @brief Wait that new work of a rank, or a more urgent one, finds at a stage pool. */
+/*! @brief Expected wait of new work of a rank at a stage pool. */
 struct PoolWait
 {
     PoolName pool;
     int rank{};
     Duration wait{};
-    /*! @brief Time by which each further piece ahead lengthens the wait. */
+    /*! @brief Additional wait for each further piece that is queued ahead. */
     Duration perPiece{};
-    /*! @brief Typical number of items of a call, which last together. */
+    /*! @brief Typical number of pieces that one call processes together. */
     double items{1.0};
-    /*! @brief Share of the endpoints' memory for results that is taken, from 0 to 1. */
+    /*! @brief Used fraction of the endpoints' result memory, from 0 to 1. */
     double roomTaken{};
 };
 
-/*! @brief Pieces of admitted requests that have yet to reach a stage pool. */
+/*! @brief Number of pieces of admitted requests that have yet to reach a stage pool. */
 struct PoolWork
 {
     PoolName pool;
@@ -58,33 +58,34 @@
     std::uint64_t pieces{};
 };
 
-/*! @brief What a process tells a peer several times a second. */
+/*! @brief State that a process sends to a peer in each heartbeat. */
 struct Heartbeat
 {
     PeerInfo from;
     std::uint64_t incarnation{};
-    /*! @brief It takes no new work. */
+    /*! @brief It accepts no new work. */
     bool draining{};
-    /*! @brief It knows what is served and by whom, and can keep queues. */
+    /*! @brief It has a configuration and a list of endpoints, and can own queues. */
     bool ownsQueues{};
-    /*! @brief It takes itself for a relay. */
+    /*! @brief It acts as a relay. */
     bool isRelay{};
-    /*! @brief Version of the configuration that it has in force. */
+    /*! @brief Version of its active configuration. */
     std::uint64_t version{};
-    /*! @brief Digest of the roster that it has for the receiver, and of the one that it last got from it. */
+    /*! @brief Digest of its roster for the receiver. */
     std::uint64_t rosterDigest{};
+    /*! @brief Digest of the last roster that it received from the receiver. */
     std::uint64_t knownDigest{};
-    /*! @brief Peers that it has heard of lately; left out while the receiver has the same. */
+    /*! @brief Live peers; absent while the receiver already has the same roster. */
     std::optional<std::vector<RosterEntry>> roster;
-    /*! @brief Waits at the pools whose queue it keeps, or, to a process that is no relay, of all that it knows. */
+    /*! @brief Waits at the pools whose queue it owns; a relay also forwards those of other relays to its leaves. */
     std::vector<PoolWait> waits;
-    /*! @brief Work that is on its way to the pools: of its own requests, and of what it was told by others. */
+    /*! @brief Work that has yet to reach the pools; from a relay also that of its peers. */
     std::vector<PoolWork> upcoming;
-    /*! @brief Generations of the process, and, from a relay, what others have told it of theirs. */
+    /*! @brief Engine report of the process; from a relay also reports of other processes. */
     std::vector<engines::EngineReport> engines;
 };
 
-/*! @brief Period of heartbeats: four of them fit into the silence after which a peer counts as gone. */
+/*! @brief Interval of heartbeats; several fit into the peer timeout, so that a lost one does no harm. */
 inline constexpr Duration heartbeatPeriod = std::chrono::milliseconds{200};
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/membershipview.cpp
+++ b/src/bergamottide/serving/membershipview.cpp
@@ -9,34 +9,35 @@
 
 namespace {
 
-/*! @brief Relays at most: each exchanges heartbeats with all others, five times a second. */
-constexpr std::size_t mostRelays = 16;
-/*! @brief Relays that a process exchanges heartbeats with: the second one is there when the first is lost. */
-constexpr std::size_t relaysOfOne = 2;
-/*! @brief Smallest fleet in which processes read the platform for others: below, reading oneself costs no more. */
-constexpr std::size_t leastFollowedFleet = 9;
-/*! @brief Processes that read the platform: enough that one is left after two losses at once, and one for so many
- * others, each of which asks twice a second. */
-constexpr std::size_t leastReaders = 3;
-constexpr std::size_t processesOfReader = 32;
-/*! @brief Share of the strongest process's strength that a relay has at least: it owns queues for the whole fleet. */
-constexpr double relayStrength = 0.5;
-
-/*! @brief Digest of a roster's entry. The digest of a roster is the sum of them, so that one can be taken out. */
-std::uint64_t digestOf(const PeerInfo &peer, bool ownsQueues)
+/*! @brief Limited because every relay exchanges heartbeats with every other one. */
+constexpr std::size_t maxRelays = 16;
+/*! @brief Relays of one process: a primary and a standby. */
+constexpr std::size_t relaysPerProcess = 2;
+/*! @brief Smallest fleet in which processes read the platform for others. */
+constexpr std::size_t minFleetWithReaders = 9;
+/*! @brief Lower bound of processes that read the platform; tolerates two simultaneous failures. */
+constexpr std::size_t minReaders = 3;
+/*! @brief Processes served by one that reads the platform. */
+constexpr std::size_t processesPerReader = 32;
+/*! @brief Minimum strength of a relay, relative to the strongest process: relays own the queues of the whole fleet. */
+constexpr double minRelayStrength = 0.5;
+
+/*! @brief Returns the digest of a roster entry. The digest of a roster is their sum, so that an entry can be
+ * subtracted. */
+std::uint64_t rosterEntryDigest(const PeerInfo &peer, bool canOwnQueues)
 {
     const std::string text = absl::StrCat(peer.instance.text(), " ", peer.address, " ", peer.strength, " ",
-                                          peer.zone.text(), " ", ownsQueues);
+                                          peer.zone.text(), " ", canOwnQueues);
     return XXH3_64bits(text.data(), text.size());
 }
 
-/*! @brief Returns when a peer that tells nothing more counts differently; the far future if it does not. */
-TimePoint changesAt(const PeerState &peer, TimePoint now)
+/*! @brief Returns when a peer changes state unless a heartbeat arrives; the far future if it does not. */
+TimePoint nextChangeAt(const PeerState &peer, TimePoint now)
 {
-    if (now < peer.unreachedUntil) {
-        return peer.unreachedUntil;
+    if (now < peer.unreachableUntil) {
+        return peer.unreachableUntil;
     }
-    return peer.isHeard(now) ? peer.heardAt + peerSilence : TimePoint::max();
+    return peer.hasRecentHeartbeat(now) ? peer.lastHeartbeatAt + peerTimeout : TimePoint::max();
 }
 
 } // namespace
@@ -46,23 +47,23 @@
     return XXH3_64bits_withSeed(process.text().data(), process.text().size(), XXH3_64bits(key.data(), key.size()));
 }
 
-bool PeerState::isHeard(TimePoint now) const
+bool PeerState::hasRecentHeartbeat(TimePoint now) const
 {
-    return now >= unreachedUntil && heardAt != TimePoint{} && now - heardAt < peerSilence;
+    return now >= unreachableUntil && lastHeartbeatAt != TimePoint{} && now - lastHeartbeatAt < peerTimeout;
 }
 
-MembershipView::MembershipView(const PeerInfo &self, bool ownsQueues, const PeerStates &peers, TimePoint now)
+MembershipView::MembershipView(const PeerInfo &self, bool canOwnQueues, const PeerStates &peers, TimePoint now)
     : m_self{self}
 {
     collectMembers(peers, now);
-    chooseRelays(ownsQueues);
-    choosePartners();
-    chooseReaders();
+    selectRelays(canOwnQueues);
+    selectPartners();
+    selectPlatformReaders();
 }
 
-bool MembershipView::holds(TimePoint now) const noexcept
+bool MembershipView::isValid(TimePoint now) const noexcept
 {
-    return now < m_until;
+    return now < m_validUntil;
 }
 
 const std::vector<Member> &MembershipView::live() const noexcept
@@ -72,22 +73,22 @@
 
 const Member *MembershipView::find(const PeerState *peer) const
 {
-    const auto found = m_places.find(peer);
-    return found == m_places.end() ? nullptr : &m_live[found->second];
+    const auto found = m_liveIndex.find(peer);
+    return found == m_liveIndex.end() ? nullptr : &m_live[found->second];
 }
 
 bool MembershipView::isAlive(const PeerState *peer) const
 {
-    return m_places.contains(peer) || m_draining.contains(peer);
+    return m_liveIndex.contains(peer) || m_draining.contains(peer);
 }
 
-const PeerState *MembershipView::atAddress(const std::string &address) const
+const PeerState *MembershipView::findByAddress(const std::string &address) const
 {
-    const auto found = m_atAddress.find(address);
-    if (found == m_atAddress.end()) {
+    const auto found = m_peersByAddress.find(address);
+    if (found == m_peersByAddress.end()) {
         return nullptr;
     }
-    return *std::ranges::max_element(found->second, {}, &PeerState::heardAt);
+    return *std::ranges::max_element(found->second, {}, &PeerState::lastHeartbeatAt);
 }
 
 bool MembershipView::isRelay() const noexcept
@@ -100,122 +101,124 @@
     return m_partners;
 }
 
-const std::vector<std::string> &MembershipView::readers() const noexcept
+const std::vector<std::string> &MembershipView::platformReaders() const noexcept
 {
-    return m_readers;
+    return m_platformReaders;
 }
 
-bool MembershipView::isToldByAnother(const PeerInfo &peer) const
+bool MembershipView::isServedByOtherRelay(const PeerInfo &peer) const
 {
     return peer.zone != m_self.zone && m_relayZones.contains(peer.zone);
 }
 
-std::uint64_t MembershipView::digest(bool heardOnly) const noexcept
+std::uint64_t MembershipView::rosterDigest(bool directOnly) const noexcept
 {
-    return heardOnly ? m_heardDigest : m_liveDigest;
+    return directOnly ? m_directDigest : m_liveDigest;
 }
 
-const std::optional<PeerInfo> &MembershipView::owner(const PoolName &pool) const
+const std::optional<PeerInfo> &MembershipView::queueOwner(const PoolName &pool) const
 {
-    const auto found = m_owners.find(pool);
-    return found != m_owners.end() ? found->second : m_owners.emplace(pool, drawOwner(pool)).first->second;
+    const auto found = m_ownerCache.find(pool);
+    return found != m_ownerCache.end() ? found->second : m_ownerCache.emplace(pool, selectOwner(pool)).first->second;
 }
 
 std::uint32_t MembershipView::share(const std::string &key, std::uint32_t units) const
 {
-    const auto [found, isNew] = m_shares.try_emplace({key, units});
+    const auto [found, isNew] = m_shareCache.try_emplace({key, units});
     if (isNew) {
-        found->second = deal(key, units);
+        found->second = computeShare(key, units);
     }
     return found->second;
 }
 
 void MembershipView::collectMembers(const PeerStates &peers, TimePoint now)
 {
-    const std::map<InstanceName, Reported> told = reported(peers, now);
+    const std::map<InstanceName, RosterState> rosters = collectRosters(peers, now);
     for (const auto &[instance, peer] : peers) {
-        m_known.push_back(&peer);
-        m_until = std::min(m_until, changesAt(peer, now));
-        m_atAddress[peer.info.address].push_back(&peer);
-        const bool heard = peer.isHeard(now);
-        const auto reported = told.find(instance);
-        const bool isTold = reported != told.end() && reported->second.isTold;
-        if (now < peer.unreachedUntil || (!heard && !isTold)) {
+        m_allPeers.push_back(&peer);
+        m_validUntil = std::min(m_validUntil, nextChangeAt(peer, now));
+        m_peersByAddress[peer.info.address].push_back(&peer);
+        const bool isDirect = peer.hasRecentHeartbeat(now);
+        const auto listed = rosters.find(instance);
+        const bool isListed = listed != rosters.end() && listed->second.isListed;
+        if (now < peer.unreachableUntil || (!isDirect && !isListed)) {
             continue;
         }
-        if (heard && peer.draining) {
+        if (isDirect && peer.draining) {
             m_draining.insert(&peer);
             continue;
         }
-        // What a peer tells itself while it is heard goes before what relays tell of it.
-        const bool ownsQueues = heard ? peer.ownsQueues : reported->second.ownsQueues;
-        const std::uint64_t digest = digestOf(peer.info, ownsQueues);
-        m_places.emplace(&peer, m_live.size());
-        m_live.push_back({&peer, heard, ownsQueues, digest});
-        m_liveDigest += digest;
-        m_heardDigest += heard ? digest : 0;
+        // A peer's own heartbeats take precedence over rosters.
+        const bool canOwnQueues = isDirect ? peer.canOwnQueues : listed->second.canOwnQueues;
+        const std::uint64_t entryDigest = rosterEntryDigest(peer.info, canOwnQueues);
+        m_liveIndex.emplace(&peer, m_live.size());
+        m_live.push_back({&peer, isDirect, canOwnQueues, entryDigest});
+        m_liveDigest += entryDigest;
+        m_directDigest += isDirect ? entryDigest : 0;
     }
 }
 
-/*! @brief Returns what the relays that are heard tell of others. */
-std::map<InstanceName, MembershipView::Reported> MembershipView::reported(const PeerStates &peers, TimePoint now)
+/*! @brief Merges the rosters of the relays whose heartbeats arrive here. */
+std::map<InstanceName, MembershipView::RosterState> MembershipView::collectRosters(const PeerStates &peers,
+                                                                                   TimePoint now)
 {
-    std::map<InstanceName, Reported> out;
-    for (const auto &[instance, teller] : peers) {
-        if (!teller.isRelay || !teller.isHeard(now)) {
+    std::map<InstanceName, RosterState> out;
+    for (const auto &[instance, relay] : peers) {
+        if (!relay.isRelay || !relay.hasRecentHeartbeat(now)) {
             continue;
         }
-        for (const auto &[told, ownsQueues] : teller.roster) {
-            Reported &reported = out[told];
-            reported.isTold = true;
-            reported.ownsQueues = reported.ownsQueues || ownsQueues;
+        for (const auto &[listed, canOwnQueues] : relay.roster) {
+            RosterState &state = out[listed];
+            state.isListed = true;
+            state.canOwnQueues = state.canOwnQueues || canOwnQueues;
         }
     }
     return out;
 }
 
-/*! @brief Orders relays as rendezvous hashing prefers them for a key, the best first. */
-void MembershipView::sortByPreference(std::vector<Relay> &relays, std::string_view key)
+/*! @brief Sorts relays by their rendezvous hashing score for a key, the highest first. */
+void MembershipView::sortByScore(std::vector<Relay> &relays, std::string_view key)
 {
     std::ranges::sort(relays, std::ranges::greater{},
                       [key](const Relay &relay) { return rendezvousScore(key, relay.info.instance); });
 }
 
 /*!
- * @brief Draws relays by rendezvous hashing, equally many of each zone as far as there are.
+ * @brief Selects relays by rendezvous hashing, evenly across availability zones as far as possible.
  *
- * Processes turn to relays of their zone, so that a zone with few would load these most.
+ * Processes prefer relays of their own zone, so those of a zone with few relays would be overloaded.
  */
-std::vector<MembershipView::Relay> MembershipView::drawEvenly(std::vector<Relay> candidates, std::string_view key,
-                                                              std::size_t most)
+std::vector<MembershipView::Relay> MembershipView::selectAcrossZones(std::vector<Relay> candidates,
+                                                                     std::string_view key, std::size_t limit)
 {
-    sortByPreference(candidates, key);
-    std::map<ZoneName, std::size_t> places;
+    sortByScore(candidates, key);
+    std::map<ZoneName, std::size_t> countByZone;
     for (const Relay &relay : candidates) {
-        ++places[relay.info.zone];
+        ++countByZone[relay.info.zone];
     }
-    const std::size_t ofZone = places.empty() ? 0 : (most + places.size() - 1) / places.size();
-    places.clear();
-    // Those beyond their zone's number come last.
+    const std::size_t quota = countByZone.empty() ? 0 : (limit + countByZone.size() - 1) / countByZone.size();
+    countByZone.clear();
+    // Candidates beyond the quota of their zone come last.
     std::stable_partition(candidates.begin(), candidates.end(),
-                          [&places, ofZone](const Relay &relay) { return places[relay.info.zone]++ < ofZone; });
-    candidates.resize(std::min(candidates.size(), most));
+                          [&countByZone, quota](const Relay &relay) { return countByZone[relay.info.zone]++ < quota; });
+    candidates.resize(std::min(candidates.size(), limit));
     return candidates;
 }
 
-void MembershipView::chooseRelays(bool ownsQueues)
+void MembershipView::selectRelays(bool canOwnQueues)
 {
-    std::vector<Relay> candidates{{m_self, ownsQueues}};
+    std::vector<Relay> candidates{{m_self, canOwnQueues}};
     for (const Member &member : m_live) {
-        candidates.push_back({member.peer->info, member.ownsQueues});
+        candidates.push_back({member.peer->info, member.canOwnQueues});
     }
     double strongest = 0.0;
     for (const Relay &candidate : candidates) {
         strongest = std::max(strongest, candidate.info.strength);
     }
-    std::erase_if(candidates,
-                  [strongest](const Relay &candidate) { return candidate.info.strength < strongest * relayStrength; });
-    m_relays = drawEvenly(std::move(candidates), relayKey, mostRelays);
+    std::erase_if(candidates, [strongest](const Relay &candidate) {
+        return candidate.info.strength < strongest * minRelayStrength;
+    });
+    m_relays = selectAcrossZones(std::move(candidates), relayKey, maxRelays);
     for (const Relay &relay : m_relays) {
         m_relayZones.insert(relay.info.zone);
         m_isRelay = m_isRelay || relay.info.instance == m_self.instance;
@@ -223,62 +226,61 @@
 }
 
 /*
- * Answers bytes between zones, which grow with the fleet: a process gets its news from a relay of its own zone. The
- * second one is of another zone, so that the loss of a zone's relays leaves it connected.
+ * The primary relay is of the own zone, to limit cross-zone traffic. The standby is of another zone, so that losing all
+ * relays of one zone does not disconnect the process.
  */
-void MembershipView::choosePartners()
+void MembershipView::selectPartners()
 {
-    std::vector<Relay> near;
-    std::vector<Relay> far;
+    std::vector<Relay> local;
+    std::vector<Relay> remote;
     for (const Relay &relay : m_relays) {
         if (relay.info.instance != m_self.instance) {
-            (relay.info.zone == m_self.zone ? near : far).push_back(relay);
+            (relay.info.zone == m_self.zone ? local : remote).push_back(relay);
         }
     }
     if (!m_isRelay) {
-        sortByPreference(near, m_self.instance.text());
-        sortByPreference(far, m_self.instance.text());
-        near.resize(std::min(near.size(), far.empty() ? relaysOfOne : 1));
-        far.resize(std::min(far.size(), relaysOfOne - near.size()));
+        sortByScore(local, m_self.instance.text());
+        sortByScore(remote, m_self.instance.text());
+        local.resize(std::min(local.size(), remote.empty() ? relaysPerProcess : 1));
+        remote.resize(std::min(remote.size(), relaysPerProcess - local.size()));
     }
-    near.insert(near.end(), far.begin(), far.end());
-    for (const Relay &relay : near) {
+    local.insert(local.end(), remote.begin(), remote.end());
+    for (const Relay &relay : local) {
         m_partners.push_back(relay.info.instance);
     }
 }
 
 /*
- * Answers the calls to the platform, which would grow with the fleet, and the bytes between zones: each zone with
- * relays has its readers, and a process asks those of its zone first. Some 1,000 changes of a lost zone, told to 300
- * processes across zones, were the largest price of a fleet of that size.
+ * Few readers keep the number of calls to the platform bounded. They are spread over the zones, and a process prefers
+ * readers of its own zone, to limit cross-zone traffic.
  */
-void MembershipView::chooseReaders()
+void MembershipView::selectPlatformReaders()
 {
     const std::size_t fleet = m_live.size() + 1;
-    if (fleet < leastFollowedFleet) {
+    if (fleet < minFleetWithReaders) {
         return;
     }
     std::vector<Relay> readers = m_relays;
-    std::erase_if(readers, [](const Relay &relay) { return !relay.ownsQueues; });
-    readers = drawEvenly(std::move(readers), "reader", std::max(leastReaders, fleet / processesOfReader));
+    std::erase_if(readers, [](const Relay &relay) { return !relay.canOwnQueues; });
+    readers = selectAcrossZones(std::move(readers), "reader", std::max(minReaders, fleet / processesPerReader));
     if (std::ranges::any_of(readers, [this](const Relay &reader) { return reader.info.instance == m_self.instance; })) {
         return;
     }
-    sortByPreference(readers, m_self.instance.text());
+    sortByScore(readers, m_self.instance.text());
     std::stable_partition(readers.begin(), readers.end(),
                           [this](const Relay &reader) { return reader.info.zone == m_self.zone; });
     for (const Relay &reader : readers) {
-        m_readers.push_back(reader.info.address);
+        m_platformReaders.push_back(reader.info.address);
     }
 }
 
-std::optional<PeerInfo> MembershipView::drawOwner(const PoolName &pool) const
+std::optional<PeerInfo> MembershipView::selectOwner(const PoolName &pool) const
 {
     std::optional<PeerInfo> best;
     std::uint64_t bestScore = 0;
     for (const Relay &relay : m_relays) {
         const std::uint64_t score = rendezvousScore(pool.text(), relay.info.instance);
-        if (relay.ownsQueues && score > bestScore) {
+        if (relay.canOwnQueues && score > bestScore) {
             bestScore = score;
             best = relay.info;
         }
@@ -286,17 +288,17 @@
     return best && best->instance == m_self.instance ? std::nullopt : best;
 }
 
-std::uint32_t MembershipView::deal(const std::string &key, std::uint32_t units) const
+std::uint32_t MembershipView::computeShare(const std::string &key, std::uint32_t units) const
 {
-    const auto processes = static_cast<std::uint32_t>(m_known.size() + 1);
+    const auto processes = static_cast<std::uint32_t>(m_allPeers.size() + 1);
     if (processes <= units) {
         return units / processes;
     }
-    const std::uint64_t own = rendezvousScore(key, m_self.instance);
-    std::uint32_t before = 0;
-    for (const PeerState *peer : m_known) {
-        before += rendezvousScore(key, peer->info.instance) > own ? 1 : 0;
-        if (before >= units) {
+    const std::uint64_t ownScore = rendezvousScore(key, m_self.instance);
+    std::uint32_t precedingCount = 0;
+    for (const PeerState *peer : m_allPeers) {
+        precedingCount += rendezvousScore(key, peer->info.instance) > ownScore ? 1 : 0;
+        if (precedingCount >= units) {
             return 0;
         }
     }
--- a/src/bergamottide/serving/membershipview.h
+++ b/src/bergamottide/serving/membershipview.h
@@ -18,153 +18,165 @@
 
 namespace bergamottide::serving {
 
-/*! @brief What a process knows of one peer. */
+/*! @brief State of a peer as known to this process. */
 struct PeerState
 {
     PeerInfo info;
     std::uint64_t incarnation{};
-    /*! @brief When it was heard itself; the epoch if it is known from others only. */
-    TimePoint heardAt{};
-    /*! @brief When others last told of it; the epoch if none has. */
-    TimePoint toldAt{};
+    /*! @brief Time of its last heartbeat; the epoch if it is known only from rosters. */
+    TimePoint lastHeartbeatAt{};
+    /*! @brief When a roster last contained it; the epoch if none has. */
+    TimePoint lastReportedAt{};
     bool draining{};
-    bool ownsQueues{};
+    bool canOwnQueues{};
     bool isRelay{};
-    /*! @brief A call to it has failed; it counts as gone until then. */
-    TimePoint unreachedUntil{};
-    /*! @brief Peers that it told of, whether each owns queues, and the digest that it told with them. */
+    /*! @brief End of the time for which it counts as dead after a failed call. */
+    TimePoint unreachableUntil{};
+    /*! @brief Its last roster: peers, and whether each can own queues. */
     std::map<InstanceName, bool> roster;
+    /*! @brief Digest that it sent with its last roster. */
     std::uint64_t rosterDigest{};
-    /*! @brief Digest of the roster that it last got from here. */
-    std::uint64_t knownDigest{};
+    /*! @brief Digest of the last roster that it received from this process. */
+    std::uint64_t acknowledgedDigest{};
     std::vector<PoolWait> waits;
     std::vector<PoolWork> upcoming;
 
-    /*! @brief Tells if its own heartbeats come in. */
-    [[nodiscard]] bool isHeard(TimePoint now) const;
+    /*! @brief Returns whether its own heartbeats arrive here within the timeout. */
+    [[nodiscard]] bool hasRecentHeartbeat(TimePoint now) const;
 };
 
 using PeerStates = std::map<InstanceName, PeerState>;
 
-/*! @brief A peer that is alive and takes work. */
+/*! @brief A live peer that does not drain. */
 struct Member
 {
     const PeerState *peer{};
-    bool isHeard{};
-    bool ownsQueues{};
-    /*! @brief Digest of what a roster tells of it. */
-    std::uint64_t digest{};
+    /*! @brief Its own heartbeats arrive here; otherwise it is known from relays. */
+    bool isDirect{};
+    bool canOwnQueues{};
+    /*! @brief Digest of its roster entry. */
+    std::uint64_t entryDigest{};
 };
 
 /**
- * @brief Who is alive, and which processes relay heartbeats, read the platform and own queues as follows from it.
+ * @brief Immutable snapshot of the live peers and of the roles derived from them: relays, platform readers and owners.
  *
- * Holds for as long as nobody counts differently. Processes with the same members come to the same answers.
+ * It is valid until a peer changes state. Processes with the same members derive the same roles.
  */
 class MembershipView
 {
 public:
     /**
-     * @brief Works the view out.
+     * @brief Builds the view.
      * @param self This process.
-     * @param ownsQueues This process can own queues.
-     * @param peers Peers; each outlives the view.
-     * @param now Present time.
+     * @param canOwnQueues Whether this process can own queues.
+     * @param peers All known peers; must outlive the view.
+     * @param now Current time.
      */
-    MembershipView(const PeerInfo &self, bool ownsQueues, const PeerStates &peers, TimePoint now);
+    MembershipView(const PeerInfo &self, bool canOwnQueues, const PeerStates &peers, TimePoint now);
 
-    /*! @brief Tells if nobody counts differently merely because time has passed. */
-    [[nodiscard]] bool holds(TimePoint now) const noexcept;
+    /*! @brief Returns whether no timeout has changed the state of a peer since the view was built. */
+    [[nodiscard]] bool isValid(TimePoint now) const noexcept;
 
-    /*! @brief Returns the peers that are alive and take work, by name. */
+    /*! @brief Returns the live peers that do not drain, ordered by name. */
     [[nodiscard]] const std::vector<Member> &live() const noexcept;
 
-    /*! @brief Returns a peer that is alive and takes work, or null. */
+    /*! @brief Returns the entry of a live peer that does not drain, or null. */
     [[nodiscard]] const Member *find(const PeerState *peer) const;
 
-    /*! @brief Tells if a peer is alive; it may drain. */
+    /*! @brief Returns whether a peer is alive; a draining peer is, too. */
     [[nodiscard]] bool isAlive(const PeerState *peer) const;
 
-    /*! @brief Returns the peer at an address that was heard last, or null. */
-    [[nodiscard]] const PeerState *atAddress(const std::string &address) const;
+    /*! @brief Returns the peer with an address, or null; of several the one with the latest heartbeat. */
+    [[nodiscard]] const PeerState *findByAddress(const std::string &address) const;
 
-    /*! @brief Tells if this process is a relay. */
+    /*! @brief Returns whether this process is a relay. */
     [[nodiscard]] bool isRelay() const noexcept;
 
-    /*! @brief Returns the peers that this process exchanges heartbeats with; unless it is a relay, the nearest first.
+    /*!
+     * @brief Returns the peers with which this process exchanges heartbeats.
+     *
+     * On a process that is not a relay the first one is the primary relay, in the own zone if there is one.
      */
     [[nodiscard]] const std::vector<InstanceName> &partners() const noexcept;
 
-    /*! @brief Returns addresses of those who read the platform for this process, in the order in which to ask. */
-    [[nodiscard]] const std::vector<std::string> &readers() const noexcept;
+    /*!
+     * @brief Returns the addresses of the peers that read the platform for this process, in order of preference.
+     *
+     * Empty if this process reads the platform itself.
+     */
+    [[nodiscard]] const std::vector<std::string> &platformReaders() const noexcept;
 
-    /*! @brief Tells if a process that is no relay gets all news from another relay, of its own zone. */
-    [[nodiscard]] bool isToldByAnother(const PeerInfo &peer) const;
+    /*! @brief Returns whether a peer that is not a relay has its primary relay in another zone than this process. */
+    [[nodiscard]] bool isServedByOtherRelay(const PeerInfo &peer) const;
 
-    /*! @brief Returns the digest of the roster of all that are alive, or of those that are heard here. */
-    [[nodiscard]] std::uint64_t digest(bool heardOnly) const noexcept;
+    /*!
+     * @brief Returns the digest of the roster.
+     * @param directOnly Whether to include only peers whose heartbeats arrive here.
+     */
+    [[nodiscard]] std::uint64_t rosterDigest(bool directOnly) const noexcept;
 
-    /*! @brief Returns the owner of a pool's queue; nothing if it is this process. */
-    [[nodiscard]] const std::optional<PeerInfo> &owner(const PoolName &pool) const;
+    /*! @brief Returns the owner of a pool's queue; nothing if this process owns it. */
+    [[nodiscard]] const std::optional<PeerInfo> &queueOwner(const PoolName &pool) const;
 
-    /*! @brief Deals units of something among all known processes, and returns the share of this one. */
+    /*! @brief Returns the share of this process in units that are divided among all processes, dead ones included. */
     [[nodiscard]] std::uint32_t share(const std::string &key, std::uint32_t units) const;
 
 private:
-    /*! @brief What relays say of a process that is not heard here. */
-    struct Reported
+    /*! @brief State of a process according to the rosters of the relays. */
+    struct RosterState
     {
-        bool isTold{};
-        bool ownsQueues{};
+        bool isListed{};
+        bool canOwnQueues{};
     };
 
-    /*! @brief A process that relays heartbeats and can read the platform and own queues for others. */
+    /*! @brief A process that is a relay or a candidate for one. */
     struct Relay
     {
         PeerInfo info;
-        bool ownsQueues{};
+        bool canOwnQueues{};
     };
 
     void collectMembers(const PeerStates &peers, TimePoint now);
-    static void sortByPreference(std::vector<Relay> &relays, std::string_view key);
-    [[nodiscard]] static std::vector<Relay> drawEvenly(std::vector<Relay> candidates, std::string_view key,
-                                                       std::size_t most);
-    void chooseRelays(bool ownsQueues);
-    void choosePartners();
-    void chooseReaders();
-    [[nodiscard]] static std::map<InstanceName, Reported> reported(const PeerStates &peers, TimePoint now);
-    [[nodiscard]] std::optional<PeerInfo> drawOwner(const PoolName &pool) const;
-    [[nodiscard]] std::uint32_t deal(const std::string &key, std::uint32_t units) const;
+    static void sortByScore(std::vector<Relay> &relays, std::string_view key);
+    [[nodiscard]] static std::vector<Relay> selectAcrossZones(std::vector<Relay> candidates, std::string_view key,
+                                                              std::size_t limit);
+    void selectRelays(bool canOwnQueues);
+    void selectPartners();
+    void selectPlatformReaders();
+    [[nodiscard]] static std::map<InstanceName, RosterState> collectRosters(const PeerStates &peers, TimePoint now);
+    [[nodiscard]] std::optional<PeerInfo> selectOwner(const PoolName &pool) const;
+    [[nodiscard]] std::uint32_t computeShare(const std::string &key, std::uint32_t units) const;
 
     PeerInfo m_self;
-    TimePoint m_until{TimePoint::max()};
-    /*! @brief All peers, dead ones too. */
-    std::vector<const PeerState *> m_known;
+    TimePoint m_validUntil{TimePoint::max()};
+    /*! @brief All known peers, dead ones included. */
+    std::vector<const PeerState *> m_allPeers;
     std::vector<Member> m_live;
-    absl::flat_hash_map<const PeerState *, std::size_t> m_places;
-    /*! @brief Peers that are alive, but drain. */
+    /*! @brief Position of each live peer in m_live. */
+    absl::flat_hash_map<const PeerState *, std::size_t> m_liveIndex;
+    /*! @brief Live peers that drain. */
     std::set<const PeerState *> m_draining;
-    absl::flat_hash_map<std::string, std::vector<const PeerState *>> m_atAddress;
+    absl::flat_hash_map<std::string, std::vector<const PeerState *>> m_peersByAddress;
     std::vector<Relay> m_relays;
     std::set<ZoneName> m_relayZones;
     std::vector<InstanceName> m_partners;
-    std::vector<std::string> m_readers;
+    std::vector<std::string> m_platformReaders;
     bool m_isRelay{};
     std::uint64_t m_liveDigest{};
-    std::uint64_t m_heardDigest{};
-    /*! @brief Owners and shares that were looked up. */
-    mutable std::map<PoolName, std::optional<PeerInfo>> m_owners;
-    mutable std::map<std::pair<std::string, std::uint32_t>, std::uint32_t> m_shares;
+    std::uint64_t m_directDigest{};
+    /*! @brief Results of earlier lookups. */
+    mutable std::map<PoolName, std::optional<PeerInfo>> m_ownerCache;
+    mutable std::map<std::pair<std::string, std::uint32_t>, std::uint32_t> m_shareCache;
 };
 
-/*! @brief Returns the weight by which rendezvous hashing ranks a process for a key. */
+/*! @brief Returns the score by which rendezvous hashing ranks a process for a key; the highest wins. */
 [[nodiscard]] std::uint64_t rendezvousScore(std::string_view key, const InstanceName &process);
 
-/*! @brief Silence after which a peer counts as gone; its work is done again elsewhere, so not much longer than a stage
- * call. */
-inline constexpr Duration peerSilence = std::chrono::milliseconds{900};
+/*! @brief Silence after which a peer counts as dead: short, since only then its tasks are repeated elsewhere. */
+inline constexpr Duration peerTimeout = std::chrono::milliseconds{900};
 
-/*! @brief Key by which the relays are drawn. */
+/*! @brief Rendezvous hashing key of the relay selection. */
 inline constexpr std::string_view relayKey = "relay";
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/peers.cpp
+++ b/src/bergamottide/serving/peers.cpp
@@ -9,32 +9,29 @@
 
 namespace {
 
-/*! @brief Period in which peers that are gone, and seeds that never answered, are asked again. */
-constexpr Duration seedPeriod = std::chrono::milliseconds{500};
-/*! @brief Addresses that are tried at once in that period: enough to meet again soon, few at any size of the fleet. */
-constexpr std::size_t mostTrials = 4;
-/*! @brief Ticks come a little early or late; a heartbeat due within this time goes with the present one. */
-constexpr Duration tolerance = std::chrono::milliseconds{20};
-/*! @brief Silence after which a peer is forgotten altogether. */
-constexpr Duration forgetting = std::chrono::seconds{60};
-/*! @brief Time after the first word of a peer in which a process does not know all others yet; fleets of hundreds that
- * start together meet in two seconds. */
-constexpr Duration meetingTime = std::chrono::seconds{3};
-/*! @brief Time without further peers after which a process that has just started takes its view for whole: a heartbeat
- * and its answer. */
-constexpr Duration settlingTime = heartbeatPeriod + tolerance;
-/*! @brief Time after its start in which a process without a whole view leaves queues alone at most: requests that wait
- * longer would be late anyway. */
-constexpr Duration longestSettling = std::chrono::seconds{1};
-/*! @brief Age up to which a relay passes on what a process told of its generations: two heartbeats. */
-constexpr Duration reportTime = std::chrono::milliseconds{450};
-/*! @brief Reports and prompts of others in one heartbeat at most. In a larger fleet each process knows a part of the
- * others' generations only; prompts then meet at their home engine. */
-constexpr std::size_t mostReports = 32;
-constexpr std::size_t mostPrompts = 128;
-
-/*! @brief Returns a report as it reads some time after it was made. */
-engines::EngineReport agedReport(engines::EngineReport report, Duration age)
+/*! @brief Interval at which addresses without a live peer are probed. */
+constexpr Duration probePeriod = std::chrono::milliseconds{500};
+/*! @brief Addresses probed in one interval; bounds the probes at any size of the fleet. */
+constexpr std::size_t maxProbes = 4;
+/*! @brief Timer jitter: a heartbeat that is due within this time is sent now. */
+constexpr Duration tickTolerance = std::chrono::milliseconds{20};
+/*! @brief Silence after which a dead peer is removed. */
+constexpr Duration peerExpiry = std::chrono::seconds{60};
+/*! @brief Time from the first heartbeat until a process claims shares: by then it knows the other processes. */
+constexpr Duration shareDelay = std::chrono::seconds{3};
+/*! @brief Time without a new peer after which initial discovery ends: one heartbeat and its response. */
+constexpr Duration quietTime = heartbeatPeriod + tickTolerance;
+/*! @brief Upper bound of initial discovery; requests that are held back longer would miss their deadline. */
+constexpr Duration maxDiscoveryTime = std::chrono::seconds{1};
+/*! @brief Age up to which a relay forwards an engine report: two heartbeats. */
+constexpr Duration maxReportAge = std::chrono::milliseconds{450};
+/*! @brief Forwarded engine reports in one heartbeat, in a fleet of up to as many processes. */
+constexpr std::size_t maxReports = 32;
+/*! @brief Forwarded prompts in one heartbeat, in a fleet of up to maxReports processes. */
+constexpr std::size_t maxPrompts = 128;
+
+/*! @brief Returns a report with its remaining times reduced by its age. */
+engines::EngineReport ageReport(engines::EngineReport report, Duration age)
 {
     for (engines::PlacedPrompt &placed : report.placed) {
         placed.readIn = std::max(placed.readIn - age, Duration::zero());
@@ -55,7 +52,7 @@
     for (const std::string &seed : seeds) {
         if (seed != m_self.address) {
             m_seeds.insert(seed);
-            m_askedAt.try_emplace(seed, TimePoint{});
+            m_lastSentAt.try_emplace(seed, TimePoint{});
         }
     }
 }
@@ -65,36 +62,36 @@
     if (heartbeat.from.instance == m_self.instance) {
         return;
     }
-    if (m_metAt == TimePoint{}) {
-        m_metAt = now;
+    if (m_firstHeardAt == TimePoint{}) {
+        m_firstHeardAt = now;
     }
     const auto [found, isNew] = m_peers.try_emplace(heartbeat.from.instance);
     PeerState &peer = found->second;
-    m_grownAt = isNew ? now : m_grownAt;
-    const bool isChanged = isNew || !peer.isHeard(now) || peer.info != heartbeat.from
-        || peer.draining != heartbeat.draining || peer.ownsQueues != heartbeat.ownsQueues
+    m_lastDiscoveredAt = isNew ? now : m_lastDiscoveredAt;
+    const bool isChanged = isNew || !peer.hasRecentHeartbeat(now) || peer.info != heartbeat.from
+        || peer.draining != heartbeat.draining || peer.canOwnQueues != heartbeat.ownsQueues
         || peer.isRelay != heartbeat.isRelay || heartbeat.roster;
     if (isChanged) {
         m_view.reset();
     }
     peer.info = heartbeat.from;
     peer.incarnation = heartbeat.incarnation;
-    peer.heardAt = now;
+    peer.lastHeartbeatAt = now;
     peer.draining = heartbeat.draining;
-    peer.ownsQueues = heartbeat.ownsQueues;
+    peer.canOwnQueues = heartbeat.ownsQueues;
     peer.isRelay = heartbeat.isRelay;
-    peer.unreachedUntil = {};
-    peer.knownDigest = heartbeat.knownDigest;
+    peer.unreachableUntil = {};
+    peer.acknowledgedDigest = heartbeat.knownDigest;
     peer.waits = heartbeat.waits;
     peer.upcoming = heartbeat.upcoming;
-    takeReports(heartbeat, now);
-    m_askedAt.try_emplace(heartbeat.from.address, TimePoint{});
+    mergeReports(heartbeat, now);
+    m_lastSentAt.try_emplace(heartbeat.from.address, TimePoint{});
     if (heartbeat.roster) {
-        takeRoster(heartbeat, peer, now);
+        mergeRoster(heartbeat, peer, now);
     }
 }
 
-void Peers::takeReports(const Heartbeat &heartbeat, TimePoint now)
+void Peers::mergeReports(const Heartbeat &heartbeat, TimePoint now)
 {
     for (const engines::EngineReport &report : heartbeat.engines) {
         if (report.origin == m_self.instance) {
@@ -102,65 +99,66 @@
         }
         const bool isDirect = report.origin == heartbeat.from.instance;
         const auto [found, isNew] = m_reports.try_emplace(report.origin);
-        ToldReport &known = found->second;
-        const bool isNewer = report.incarnation == known.report.incarnation && report.sequence > known.report.sequence;
-        // What another relay passes on of a former start of the process must not replace what itself tells.
-        if (isNew || isDirect || isNewer || now - known.heardAt >= reportTime) {
-            known = {report, now, isDirect};
+        ReceivedReport &latest = found->second;
+        const bool isNewer =
+            report.incarnation == latest.report.incarnation && report.sequence > latest.report.sequence;
+        // A forwarded report of an earlier incarnation must not replace the one from the process itself.
+        if (isNew || isDirect || isNewer || now - latest.receivedAt >= maxReportAge) {
+            latest = {report, now, isDirect};
         }
     }
 }
 
-void Peers::takeRoster(const Heartbeat &heartbeat, PeerState &teller, TimePoint now)
+void Peers::mergeRoster(const Heartbeat &heartbeat, PeerState &reporter, TimePoint now)
 {
-    teller.roster.clear();
-    teller.rosterDigest = heartbeat.rosterDigest;
+    reporter.roster.clear();
+    reporter.rosterDigest = heartbeat.rosterDigest;
     for (const RosterEntry &entry : *heartbeat.roster) {
         if (entry.peer.instance == m_self.instance) {
             continue;
         }
-        teller.roster[entry.peer.instance] = entry.ownsQueues;
-        m_askedAt.try_emplace(entry.peer.address, TimePoint{});
+        reporter.roster[entry.peer.instance] = entry.ownsQueues;
+        m_lastSentAt.try_emplace(entry.peer.address, TimePoint{});
         const auto [found, isNew] = m_peers.try_emplace(entry.peer.instance);
         PeerState &peer = found->second;
-        peer.toldAt = now;
-        m_grownAt = isNew ? now : m_grownAt;
-        // What a peer tells itself goes before what others tell of it, as long as it is heard.
-        if (isNew || !peer.isHeard(now)) {
+        peer.lastReportedAt = now;
+        m_lastDiscoveredAt = isNew ? now : m_lastDiscoveredAt;
+        // A peer's own heartbeats take precedence over rosters.
+        if (isNew || !peer.hasRecentHeartbeat(now)) {
             peer.info = entry.peer;
         }
     }
 }
 
-void Peers::setOwnsQueues(bool ownsQueues) noexcept
+void Peers::setOwnsQueues(bool canOwnQueues) noexcept
 {
-    m_ownsQueues = ownsQueues;
+    m_canOwnQueues = canOwnQueues;
     m_view.reset();
 }
 
-void Peers::unreached(const InstanceName &peer, TimePoint now)
+void Peers::markUnreachable(const InstanceName &peer, TimePoint now)
 {
     const auto found = m_peers.find(peer);
     if (found != m_peers.end()) {
-        found->second.unreachedUntil = now + peerSilence;
+        found->second.unreachableUntil = now + peerTimeout;
         m_view.reset();
     }
 }
 
 /*
- * Answers the start of fleets of hundreds, in which many know only a peer that is no relay: whom that tells of is kept
- * to be asked. Forgotten at once, 172 of 300 processes never met the others.
+ * Peers known only from a roster are kept for the same time: at the start of a large fleet a process may know only
+ * peers that are not relays, and has to probe those that they report.
  */
-void Peers::forgetGone(TimePoint now)
+void Peers::removeExpiredPeers(TimePoint now)
 {
     for (auto next = m_peers.begin(); next != m_peers.end();) {
         const auto present = next++;
         const PeerState &peer = present->second;
-        if (now - std::max(peer.heardAt, peer.toldAt) <= forgetting || isLive(present->first, now)) {
+        if (now - std::max(peer.lastHeartbeatAt, peer.lastReportedAt) <= peerExpiry || isLive(present->first, now)) {
             continue;
         }
         if (!m_seeds.contains(peer.info.address)) {
-            m_askedAt.erase(peer.info.address);
+            m_lastSentAt.erase(peer.info.address);
         }
         m_peers.erase(present);
         m_view.reset();
@@ -169,101 +167,100 @@
 
 std::vector<std::string> Peers::due(TimePoint now)
 {
-    forgetGone(now);
-    std::erase_if(m_reports, [now](const auto &told) { return now - told.second.heardAt >= reportTime; });
+    removeExpiredPeers(now);
+    std::erase_if(m_reports, [now](const auto &entry) { return now - entry.second.receivedAt >= maxReportAge; });
     m_startedAt = m_startedAt == TimePoint{} ? now : m_startedAt;
-    m_isSettled = isSettled(now);
+    m_isDiscoveryFinished = isDiscoveryFinished(now);
     std::vector<std::string> addresses;
-    const MembershipView &known = view(now);
-    for (const InstanceName &partner : known.partners()) {
+    const MembershipView &membership = view(now);
+    for (const InstanceName &partner : membership.partners()) {
         const std::string &address = m_peers.at(partner).info.address;
-        TimePoint &askedAt = m_askedAt[address];
-        // The second relay of a process tells it nothing but that it is there.
-        const bool isSecond = !known.isRelay() && partner != known.partners().front();
+        TimePoint &sentAt = m_lastSentAt[address];
+        // The second relay is a standby, so half the rate is enough.
+        const bool isSecond = !membership.isRelay() && partner != membership.partners().front();
         const Duration period = isSecond ? heartbeatPeriod * 2 : heartbeatPeriod;
-        if (askedAt == TimePoint{} || now - askedAt >= period - tolerance) {
-            askedAt = now;
+        if (sentAt == TimePoint{} || now - sentAt >= period - tickTolerance) {
+            sentAt = now;
             addresses.push_back(address);
         }
     }
-    if (m_triedAt != TimePoint{} && now - m_triedAt < seedPeriod) {
+    if (m_lastProbedAt != TimePoint{} && now - m_lastProbedAt < probePeriod) {
         return addresses;
     }
-    m_triedAt = now;
-    for (const std::string &address : trials(now)) {
-        m_askedAt[address] = now;
+    m_lastProbedAt = now;
+    for (const std::string &address : probeTargets(now)) {
+        m_lastSentAt[address] = now;
         addresses.push_back(address);
     }
     return addresses;
 }
 
 /*
- * Returns addresses of peers that are not alive, to be asked whether they are: those that were not asked for longest,
- * and of these the likeliest relays first, from which a process learns of all others. Asked in the order of their
- * addresses, 300 processes that start together took 5 s to meet, against 2 s so.
+ * Returns addresses without a live peer, least recently contacted first. Among equals the likeliest relays come first:
+ * a relay knows all other peers, which shortens discovery.
  */
-std::vector<std::string> Peers::trials(TimePoint now) const
+std::vector<std::string> Peers::probeTargets(TimePoint now) const
 {
-    struct Trial
+    struct Target
     {
-        TimePoint askedAt;
-        double weakness;
-        std::uint64_t order;
+        TimePoint sentAt;
+        double negatedStrength;
+        std::uint64_t negatedScore;
         std::string address;
     };
-    std::vector<Trial> trials;
-    for (const auto &[address, askedAt] : m_askedAt) {
-        const PeerState *peer = view(now).atAddress(address);
+    std::vector<Target> targets;
+    for (const auto &[address, sentAt] : m_lastSentAt) {
+        const PeerState *peer = view(now).findByAddress(address);
         if (peer == nullptr) {
-            trials.push_back({askedAt, -std::numeric_limits<double>::max(), 0, address});
+            targets.push_back({sentAt, -std::numeric_limits<double>::max(), 0, address});
         } else if (!isLive(peer->info.instance, now)) {
-            trials.push_back({askedAt, -peer->info.strength, ~rendezvousScore(relayKey, peer->info.instance), address});
+            targets.push_back({sentAt, -peer->info.strength, ~rendezvousScore(relayKey, peer->info.instance), address});
         }
     }
-    std::ranges::sort(trials, {}, [](const Trial &trial) {
-        return std::tie(trial.askedAt, trial.weakness, trial.order, trial.address);
+    std::ranges::sort(targets, {}, [](const Target &target) {
+        return std::tie(target.sentAt, target.negatedStrength, target.negatedScore, target.address);
     });
     std::vector<std::string> out;
-    for (const Trial &trial : trials) {
-        if (out.size() == mostTrials) {
+    for (const Target &target : targets) {
+        if (out.size() == maxProbes) {
             break;
         }
-        out.push_back(trial.address);
+        out.push_back(target.address);
     }
     return out;
 }
 
 void Peers::complete(Heartbeat &heartbeat, const std::string &to, TimePoint now) const
 {
-    const MembershipView &known = view(now);
-    const PeerState *receiver = known.atAddress(to);
+    const MembershipView &membership = view(now);
+    const PeerState *receiver = membership.findByAddress(to);
     heartbeat.from = m_self;
-    heartbeat.isRelay = known.isRelay();
+    heartbeat.isRelay = membership.isRelay();
     heartbeat.knownDigest = receiver == nullptr ? 0 : receiver->rosterDigest;
-    tellRoster(heartbeat, receiver, now);
+    addRoster(heartbeat, receiver, now);
     if (!heartbeat.isRelay) {
-        // The second relay would count the same work once more.
-        const bool isFirst =
-            known.partners().empty() || receiver == nullptr || known.partners().front() == receiver->info.instance;
+        // Reported to both relays, the work would be counted twice.
+        const bool isFirst = membership.partners().empty() || receiver == nullptr
+            || membership.partners().front() == receiver->info.instance;
         if (!isFirst) {
             heartbeat.upcoming.clear();
         }
         return;
     }
-    if (receiver != nullptr && !receiver->isRelay && known.isToldByAnother(receiver->info)) {
+    if (receiver != nullptr && !receiver->isRelay && membership.isServedByOtherRelay(receiver->info)) {
         heartbeat.upcoming.clear();
         heartbeat.engines.clear();
         return;
     }
-    passOnWork(heartbeat, receiver, now);
-    passOnEngines(heartbeat, receiver, now);
+    addRelayedWork(heartbeat, receiver, now);
+    addRelayedReports(heartbeat, receiver, now);
 }
 
 /*
- * Adds what others have told this relay of waits and of work on its way. Work is added up by pool and rank: told one by
- * one, a fleet of a hundred processes makes hundreds of entries of each heartbeat, for receivers with 0.09 cores.
+ * Adds the waits and the upcoming work that peers have reported to this relay. The work is aggregated by pool and rank,
+ * so that the heartbeat does not grow with the fleet.
  */
-void Peers::passOnWork(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const
+void Peers::addRelayedWork(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const
 {
     const bool toRelay = receiver != nullptr && receiver->isRelay;
     std::map<std::pair<PoolName, int>, std::uint64_t> pieces;
@@ -274,7 +271,7 @@
     };
     add(heartbeat.upcoming);
     for (const auto &[instance, peer] : m_peers) {
-        if (!peer.isHeard(now) || &peer == receiver || (toRelay && peer.isRelay)) {
+        if (!peer.hasRecentHeartbeat(now) || &peer == receiver || (toRelay && peer.isRelay)) {
             continue;
         }
         add(peer.upcoming);
@@ -289,82 +286,83 @@
 }
 
 /*
- * Adds what others have told this relay of their generations; what they told long ago is left out. A heartbeat to a
- * fleet of up to 32 processes carries all of it, some 14 KB at most; to larger ones less in proportion, so that what a
- * process hears does not grow with the fleet. Who is told of changes with each heartbeat then.
+ * Adds the recent engine reports of other processes. In a fleet of up to maxReports processes a heartbeat contains all
+ * of them. In a larger one it contains a part, in rotation, so that the bytes that a process receives do not grow with
+ * the fleet.
  */
-void Peers::passOnEngines(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const
+void Peers::addRelayedReports(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const
 {
     const bool toRelay = receiver != nullptr && receiver->isRelay;
-    std::vector<const ToldReport *> news;
-    for (const auto &[origin, told] : m_reports) {
-        // Relays tell each other themselves of their own, and of processes that they hear.
-        const auto teller = m_peers.find(origin);
-        const bool isRelays = teller != m_peers.end() && teller->second.isRelay;
-        const bool isKnownThere = receiver != nullptr && origin == receiver->info.instance;
-        if (now - told.heardAt < reportTime && !isKnownThere && !(toRelay && (isRelays || !told.isDirect))) {
-            news.push_back(&told);
+    std::vector<const ReceivedReport *> recent;
+    for (const auto &[origin, entry] : m_reports) {
+        // Each relay sends the others its own report and those that it received directly.
+        const auto process = m_peers.find(origin);
+        const bool isFromRelay = process != m_peers.end() && process->second.isRelay;
+        const bool isFromReceiver = receiver != nullptr && origin == receiver->info.instance;
+        if (now - entry.receivedAt < maxReportAge && !isFromReceiver
+            && !(toRelay && (isFromRelay || !entry.isDirect))) {
+            recent.push_back(&entry);
         }
     }
-    if (news.empty()) {
+    if (recent.empty()) {
         return;
     }
-    const std::size_t fleet = std::max(m_peers.size() + 1, mostReports);
-    const std::size_t reports = std::max<std::size_t>(mostReports * mostReports / fleet, 1);
-    const std::size_t prompts = mostPrompts * mostReports / fleet;
-    const auto turn = static_cast<std::size_t>(now.time_since_epoch() / heartbeatPeriod);
-    std::size_t passedOn = 0;
-    for (std::size_t index = 0; index < std::min(reports, news.size()) && passedOn < prompts; ++index) {
-        const ToldReport &told = *news[(turn * reports + index) % news.size()];
-        heartbeat.engines.push_back(agedReport(told.report, now - told.heardAt));
-        passedOn += told.report.placed.size();
+    const std::size_t fleet = std::max(m_peers.size() + 1, maxReports);
+    const std::size_t reports = std::max<std::size_t>(maxReports * maxReports / fleet, 1);
+    const std::size_t prompts = maxPrompts * maxReports / fleet;
+    const auto rotation = static_cast<std::size_t>(now.time_since_epoch() / heartbeatPeriod);
+    std::size_t promptCount = 0;
+    for (std::size_t index = 0; index < std::min(reports, recent.size()) && promptCount < prompts; ++index) {
+        const ReceivedReport &entry = *recent[(rotation * reports + index) % recent.size()];
+        heartbeat.engines.push_back(ageReport(entry.report, now - entry.receivedAt));
+        promptCount += entry.report.placed.size();
     }
 }
 
-/*! @brief Relays tell each other only of processes that they hear themselves: none lives on in what others tell. */
-void Peers::tellRoster(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const
+/*
+ * Relays list to each other only the peers that send them heartbeats. Otherwise a dead peer would stay alive because
+ * each relay repeats the roster of the other.
+ */
+void Peers::addRoster(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const
 {
-    const MembershipView &known = view(now);
-    const bool toRelay = receiver != nullptr && receiver->isRelay && known.isRelay();
-    heartbeat.rosterDigest = known.digest(toRelay);
-    if (const Member *member = known.find(receiver); member != nullptr) {
-        heartbeat.rosterDigest -= toRelay && !member->isHeard ? 0 : member->digest;
+    const MembershipView &membership = view(now);
+    const bool toRelay = receiver != nullptr && receiver->isRelay && membership.isRelay();
+    heartbeat.rosterDigest = membership.rosterDigest(toRelay);
+    if (const Member *member = membership.find(receiver); member != nullptr) {
+        heartbeat.rosterDigest -= toRelay && !member->isDirect ? 0 : member->entryDigest;
     }
-    if (receiver != nullptr && receiver->knownDigest == heartbeat.rosterDigest) {
+    if (receiver != nullptr && receiver->acknowledgedDigest == heartbeat.rosterDigest) {
         return;
     }
     heartbeat.roster.emplace();
-    for (const Member &member : known.live()) {
-        if (member.peer != receiver && (member.isHeard || !toRelay)) {
-            heartbeat.roster->push_back({member.peer->info, member.ownsQueues});
+    for (const Member &member : membership.live()) {
+        if (member.peer != receiver && (member.isDirect || !toRelay)) {
+            heartbeat.roster->push_back({member.peer->info, member.canOwnQueues});
         }
     }
 }
 
 /*
- * Answers fleets of hundreds, in which each request and each heartbeat asks several times who is alive and keeps a
- * queue. Worked out for each question it took a relay 0.77 of a core at 300 processes, against 0.004 where it is worked
- * out once for as long as nobody counts differently (benchmark `answerHeartbeats`).
+ * Each request and each heartbeat queries the membership several times, and building it is linear in the size of the
+ * fleet, so it is cached until it changes (benchmark `answerHeartbeats`).
  */
 const MembershipView &Peers::view(TimePoint now) const
 {
-    if (!m_view || !m_view->holds(now)) {
+    if (!m_view || !m_view->isValid(now)) {
         ++m_viewsBuilt;
-        m_view = std::make_unique<MembershipView>(m_self, m_ownsQueues, m_peers, now);
+        m_view = std::make_unique<MembershipView>(m_self, m_canOwnQueues, m_peers, now);
     }
     return *m_view;
 }
 
 std::vector<std::string> Peers::readers(TimePoint now) const
 {
-    return view(now).readers();
+    return view(now).platformReaders();
 }
 
 /*
- * Answers rolling restarts: what a process said before it stopped says nothing of its next start, of which others tell.
- * Taken for draining on, it keeps a queue for some and not for others, and the two collide at the endpoints: on three
- * large fleets 280 to 480 calls a day found an endpoint full, 5,000 to 13,000 pieces their inputs gone. So a peer that
- * drains is left out only while it is heard, and alive all the same.
+ * The draining flag of a peer is ignored once its heartbeats stop. Otherwise a peer that restarts, and that rosters
+ * report as alive again, would still count as draining here, and processes would disagree on queue owners.
  */
 bool Peers::isLive(const InstanceName &peer, TimePoint now) const
 {
@@ -396,27 +394,27 @@
 
 std::optional<PeerInfo> Peers::owner(const PoolName &pool, TimePoint now) const
 {
-    return view(now).owner(pool);
+    return view(now).queueOwner(pool);
 }
 
-bool Peers::isSettled(TimePoint now) const
+bool Peers::isDiscoveryFinished(TimePoint now) const
 {
-    if (m_isSettled || m_seeds.empty()) {
+    if (m_isDiscoveryFinished || m_seeds.empty()) {
         return true;
     }
     if (m_startedAt == TimePoint{}) {
         return false;
     }
-    const bool hasMet = m_metAt != TimePoint{} && now - m_grownAt >= settlingTime;
-    return hasMet || now - m_startedAt >= longestSettling;
+    const bool hasMet = m_firstHeardAt != TimePoint{} && now - m_lastDiscoveredAt >= quietTime;
+    return hasMet || now - m_startedAt >= maxDiscoveryTime;
 }
 
 std::uint32_t Peers::share(const std::string &key, std::uint32_t units, TimePoint now) const
 {
-    if (m_metAt == TimePoint{} && m_seeds.empty()) {
+    if (m_firstHeardAt == TimePoint{} && m_seeds.empty()) {
         return units;
     }
-    if (m_metAt == TimePoint{} || now - m_metAt < meetingTime) {
+    if (m_firstHeardAt == TimePoint{} || now - m_firstHeardAt < shareDelay) {
         return 0;
     }
     return view(now).share(key, units);
@@ -428,46 +426,47 @@
     return found == m_peers.end() ? 0 : found->second.incarnation;
 }
 
-std::optional<PoolWait> Peers::toldWait(const InstanceName &peer, const PoolName &pool, int rank, TimePoint now) const
+std::optional<PoolWait> Peers::reportedWait(const InstanceName &peer, const PoolName &pool, int rank,
+                                            TimePoint now) const
 {
     const auto found = m_peers.find(peer);
     if (found == m_peers.end()) {
         return std::nullopt;
     }
     std::optional<PoolWait> longest;
-    const auto look = [&longest, &pool, rank](const PeerState &teller) {
-        for (const PoolWait &wait : teller.waits) {
+    const auto findLongest = [&longest, &pool, rank](const PeerState &source) {
+        for (const PoolWait &wait : source.waits) {
             if (wait.pool == pool && wait.rank <= rank && (!longest || wait.wait > longest->wait)) {
                 longest = wait;
             }
         }
     };
-    if (found->second.isHeard(now)) {
-        look(found->second);
+    if (found->second.hasRecentHeartbeat(now)) {
+        findLongest(found->second);
         return longest;
     }
-    for (const auto &[instance, teller] : m_peers) {
-        if (teller.isRelay && teller.isHeard(now)) {
-            look(teller);
+    for (const auto &[instance, source] : m_peers) {
+        if (source.isRelay && source.hasRecentHeartbeat(now)) {
+            findLongest(source);
         }
     }
     return longest;
 }
 
-std::uint64_t Peers::upcoming(const PoolName &pool, int rank, std::uint64_t own, TimePoint now) const
+std::uint64_t Peers::upcomingPieces(const PoolName &pool, int rank, std::uint64_t own, TimePoint now) const
 {
-    const bool isRelayHere = view(now).isRelay();
+    const bool isSelfRelay = view(now).isRelay();
     std::uint64_t sum = own;
     for (const auto &[instance, peer] : m_peers) {
-        if (!peer.isHeard(now)) {
+        if (!peer.hasRecentHeartbeat(now)) {
             continue;
         }
-        std::uint64_t told = 0;
+        std::uint64_t reported = 0;
         for (const PoolWork &work : peer.upcoming) {
-            told += work.pool == pool && work.rank <= rank ? work.pieces : 0;
+            reported += work.pool == pool && work.rank <= rank ? work.pieces : 0;
         }
-        // A relay tells the others of the whole fleet, so that what two relays tell must not be added.
-        sum = isRelayHere ? sum + told : std::max(sum, told);
+        // Each relay reports the sum for the whole fleet, so that reports of two relays must not be added.
+        sum = isSelfRelay ? sum + reported : std::max(sum, reported);
     }
     return sum;
 }
--- a/src/bergamottide/serving/peers.h
+++ b/src/bergamottide/serving/peers.h
@@ -17,64 +17,68 @@
 namespace bergamottide::serving {
 
 /**
- * @brief Peers that are alive, learnt from a few seeds and from each other, and which of them keeps which queue.
+ * @brief Gossip membership of the fleet: discovers live peers from a few seeds and selects the owner of each queue.
  *
- * Up to sixteen of the strongest processes are relays: they exchange heartbeats with each other, and every other
- * process exchanges them with two relays of its own. So the heartbeats of a process do not grow with the fleet, and
- * those of a relay grow by one sixteenth of it. Who is a relay follows from the peers that are alive; processes that
- * see the same peers agree without talking.
+ * Up to sixteen of the processes with the highest capacity are relays. They exchange heartbeats with each other, and
+ * every other process exchanges heartbeats with two relays. The load of an ordinary process is therefore independent of
+ * the size of the fleet, and that of a relay grows by one sixteenth of it. The relays are a function of the live peers:
+ * processes with the same membership agree on them without coordination.
  *
- * The queue of a stage pool has one owner among the relays, drawn by rendezvous hashing. While processes see different
- * peers, two owners send work to the same endpoints, which costs time but breaks nothing.
+ * The queue of a stage pool has one owner among the relays, selected by rendezvous hashing. While memberships differ,
+ * two owners may send work to the same endpoints, which costs time but not correctness.
  */
 class Peers
 {
 public:
     /**
-     * @brief Creates a view with nobody but this process.
+     * @brief Creates a membership that contains only this process.
      * @param self This process.
-     * @param seeds Addresses of peers to ask first; they may be out of date.
+     * @param seeds Addresses of peers to contact first; they may be out of date.
      */
     Peers(PeerInfo self, const std::vector<std::string> &seeds);
 
-    // A membership view points at the peers that are kept here.
+    // The cached membership view points into the peer table.
     Peers(const Peers &) = delete;
     Peers &operator=(const Peers &) = delete;
     Peers(Peers &&) = default;
     Peers &operator=(Peers &&) = default;
     ~Peers() = default;
 
-    /*! @brief Adds addresses to ask; those known before stay. */
+    /*! @brief Adds seed addresses; earlier ones are kept. */
     void addSeeds(const std::vector<std::string> &seeds);
 
-    /*! @brief Takes what a peer told, as a question or an answer. */
+    /*! @brief Applies a heartbeat that was received as a request or as the response to one. */
     void heard(const Heartbeat &heartbeat, TimePoint now);
 
-    /*! @brief Sets whether this process can keep queues; it keeps them all the same while no peer can. */
-    void setOwnsQueues(bool ownsQueues) noexcept;
+    /*! @brief Sets whether this process can own queues. While no peer can, it owns all of them in any case. */
+    void setOwnsQueues(bool canOwnQueues) noexcept;
 
-    /*! @brief Notes that a call to a peer has failed: it counts as gone until it is heard again, or for a while if
-     * only others tell of it. */
-    void unreached(const InstanceName &peer, TimePoint now);
+    /*!
+     * @brief Marks a peer as unreachable after a failed call.
+     *
+     * It counts as dead until its next heartbeat. A peer known only from rosters counts as alive again after the peer
+     * timeout.
+     */
+    void markUnreachable(const InstanceName &peer, TimePoint now);
 
     /**
-     * @brief Returns the addresses that are due for a heartbeat.
-     * @param now Present time.
+     * @brief Returns the addresses to which a heartbeat is due, and records that it is sent.
+     * @param now Current time.
      */
     [[nodiscard]] std::vector<std::string> due(TimePoint now);
 
     /**
-     * @brief Fills in what a heartbeat tells of peers, their waits and their upcoming work.
-     * @param heartbeat Heartbeat with what the process tells of itself.
+     * @brief Adds the roster, and on a relay the waits, upcoming work and engine reports of other peers.
+     * @param heartbeat Heartbeat that contains the state of this process.
      * @param to Address of the receiver.
-     * @param now Present time.
+     * @param now Current time.
      */
     void complete(Heartbeat &heartbeat, const std::string &to, TimePoint now) const;
 
-    /*! @brief Returns the peers that are alive and take work, without this process. */
+    /*! @brief Returns the live peers that do not drain, without this process. */
     [[nodiscard]] std::vector<PeerInfo> live(TimePoint now) const;
 
-    /*! @brief Returns the number of peers that are alive and take work. */
+    /*! @brief Returns the number of live peers that do not drain, without this process. */
     [[nodiscard]] std::size_t liveCount(TimePoint now) const;
 
     /*! @brief Tells if this process is a relay. */
@@ -83,98 +87,97 @@
     /**
      * @brief Returns the owner of a pool's queue.
      * @param pool Pool.
-     * @param now Present time.
-     * @return The peer, or nothing if it is this process.
+     * @param now Current time.
+     * @return The peer, or nothing if this process owns the queue.
      */
     [[nodiscard]] std::optional<PeerInfo> owner(const PoolName &pool, TimePoint now) const;
 
     /**
-     * @brief Returns who reads for this process what the platform publishes.
+     * @brief Returns the peers that read the platform's data on behalf of this process.
      *
-     * In a fleet of some size a few relays read, so that the calls to the platform do not grow with the fleet.
-     * @param now Present time.
-     * @return Addresses in the order in which to ask; none if this process reads for itself.
+     * In a larger fleet only a few relays read it, so that calls to the platform do not grow with the fleet.
+     * @param now Current time.
+     * @return Addresses in order of preference; empty if this process reads the platform itself.
      */
     [[nodiscard]] std::vector<std::string> readers(TimePoint now) const;
 
     /**
-     * @brief Deals units of something scarce among the processes of the fleet, and returns the share of this one.
+     * @brief Divides units of a limited resource among the processes of the fleet and returns this process's share.
      *
-     * Processes that have not been alive lately keep their shares, so that parts of a partitioned fleet, which deal
-     * apart, never give out more than there is. A process that has just started has no share: it does not know the
-     * others yet.
-     * @param key What is dealt; each key has other holders where there are fewer units than processes.
-     * @param units Number of units.
-     * @param now Present time.
+     * Peers that died recently keep their shares, so that the sides of a network partition together never exceed the
+     * total. A process that has just started has no share, since it does not know all peers yet.
+     * @param key Resource. If there are fewer units than processes, the key determines which processes get one.
+     * @param units Total number of units.
+     * @param now Current time.
      */
     [[nodiscard]] std::uint32_t share(const std::string &key, std::uint32_t units, TimePoint now) const;
 
     /**
-     * @brief Tells if who owns which queue can be relied upon: the process has met the others since its start.
+     * @brief Returns whether initial discovery is over, so that queue owners are reliable.
      *
-     * Holds from the moment at which no further peers have turned up for a while, and after a second in any case.
+     * It ends when no new peer has appeared for a heartbeat and its response, at the latest after a second.
      */
-    [[nodiscard]] bool isSettled(TimePoint now) const;
+    [[nodiscard]] bool isDiscoveryFinished(TimePoint now) const;
 
-    /*! @brief Returns the incarnation that a peer told; zero if it is not known. */
+    /*! @brief Returns the last known incarnation of a peer; zero if unknown. */
     [[nodiscard]] std::uint64_t incarnationOf(const InstanceName &peer) const;
 
-    /*! @brief Tells if a peer is alive; it may drain. */
+    /*! @brief Returns whether a peer is alive; a draining peer is, too. */
     [[nodiscard]] bool isLive(const InstanceName &peer, TimePoint now) const;
 
-    /*! @brief Returns the wait that an owner told for a pool and rank: the longest of the ranks up to it. */
-    [[nodiscard]] std::optional<PoolWait> toldWait(const InstanceName &peer, const PoolName &pool, int rank,
-                                                   TimePoint now) const;
+    /*! @brief Returns the wait that a queue owner reported for a pool: the longest of all ranks up to the given one. */
+    [[nodiscard]] std::optional<PoolWait> reportedWait(const InstanceName &peer, const PoolName &pool, int rank,
+                                                       TimePoint now) const;
 
     /**
-     * @brief Returns the pieces of a rank or a more urgent one that are on their way to a pool.
+     * @brief Returns the number of pieces, of the given rank or a more urgent one, that have yet to reach a pool.
      * @param own Pieces of this process.
      */
-    [[nodiscard]] std::uint64_t upcoming(const PoolName &pool, int rank, std::uint64_t own, TimePoint now) const;
+    [[nodiscard]] std::uint64_t upcomingPieces(const PoolName &pool, int rank, std::uint64_t own, TimePoint now) const;
 
     /*! @brief Returns this process. */
     [[nodiscard]] const PeerInfo &self() const noexcept;
 
-    /*! @brief Returns how often the view of the fleet was worked out anew; that takes time in proportion to its size.
-     */
+    /*! @brief Returns how often the membership view was rebuilt; each rebuild is linear in the size of the fleet. */
     [[nodiscard]] std::size_t viewsBuilt() const noexcept;
 
 private:
-    /*! @brief What a process told of its generations. */
-    struct ToldReport
+    /*! @brief Last engine report of a process. */
+    struct ReceivedReport
     {
         engines::EngineReport report;
-        TimePoint heardAt{};
-        /*! @brief Told by the process itself, not passed on. */
+        TimePoint receivedAt{};
+        /*! @brief Received from the process itself, not from a relay. */
         bool isDirect{};
     };
 
-    void passOnWork(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const;
-    void passOnEngines(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const;
-    void takeRoster(const Heartbeat &heartbeat, PeerState &teller, TimePoint now);
-    void forgetGone(TimePoint now);
-    [[nodiscard]] std::vector<std::string> trials(TimePoint now) const;
-    void takeReports(const Heartbeat &heartbeat, TimePoint now);
+    void addRelayedWork(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const;
+    void addRelayedReports(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const;
+    void mergeRoster(const Heartbeat &heartbeat, PeerState &reporter, TimePoint now);
+    void removeExpiredPeers(TimePoint now);
+    [[nodiscard]] std::vector<std::string> probeTargets(TimePoint now) const;
+    void mergeReports(const Heartbeat &heartbeat, TimePoint now);
     [[nodiscard]] const MembershipView &view(TimePoint now) const;
-    void tellRoster(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const;
+    void addRoster(Heartbeat &heartbeat, const PeerState *receiver, TimePoint now) const;
 
     PeerInfo m_self;
-    bool m_ownsQueues{};
+    bool m_canOwnQueues{};
     std::set<std::string> m_seeds;
-    /*! @brief Addresses to ask, and when each was asked last. */
-    std::map<std::string, TimePoint> m_askedAt;
-    /*! @brief When addresses of peers that are not alive were tried last. */
-    TimePoint m_triedAt{};
+    /*! @brief Known addresses and the time of the last heartbeat to each. */
+    std::map<std::string, TimePoint> m_lastSentAt;
+    /*! @brief When addresses without a live peer were last probed. */
+    TimePoint m_lastProbedAt{};
     PeerStates m_peers;
-    /*! @brief Reports that are passed on while they are new, by their origin. */
-    std::map<InstanceName, ToldReport> m_reports;
-    /*! @brief When a peer was heard for the first time; the epoch if none was. */
-    TimePoint m_metAt{};
-    /*! @brief When the process first looked for peers, and when it last learnt of a further one. */
+    /*! @brief Engine reports by origin; forwarded until they expire. */
+    std::map<InstanceName, ReceivedReport> m_reports;
+    /*! @brief Time of the first heartbeat from any peer; the epoch if there was none. */
+    TimePoint m_firstHeardAt{};
+    /*! @brief When discovery started. */
     TimePoint m_startedAt{};
-    TimePoint m_grownAt{};
-    bool m_isSettled{};
-    /*! @brief Nothing after a change of what it follows from. */
+    /*! @brief When the last new peer was discovered. */
+    TimePoint m_lastDiscoveredAt{};
+    bool m_isDiscoveryFinished{};
+    /*! @brief Cached view; null after a change of the peers. */
     mutable std::unique_ptr<MembershipView> m_view;
     mutable std::size_t m_viewsBuilt{};
 };
--- a/src/bergamottide/serving/servingpeers.cpp
+++ b/src/bergamottide/serving/servingpeers.cpp
@@ -8,22 +8,20 @@
 
 namespace {
 
-/*! @brief Tasks of peers are numbered from here, apart from this process's own. */
-constexpr std::uint64_t firstPeerTask = 1ULL << 63U;
-/*! @brief Time from the moment a process hears that another keeps a queue until it gives its tasks up: two heartbeats,
- * by which all have heard of it. */
-constexpr Duration takeOverTime = heartbeatPeriod * 2;
+/*! @brief First identifier of the tasks of peers, in a range apart from this process's own. */
+constexpr std::uint64_t firstPeerTaskId = 1ULL << 63U;
+/*! @brief Delay before a former owner hands over its tasks: two heartbeats, so that all peers know the change. */
+constexpr Duration handOverDelay = heartbeatPeriod * 2;
 
 } // namespace
 
 /*
- * The queue of a stage pool is kept by one process for the whole fleet. Answers a load that nearly fills the pool:
- * calls filled by each process alone carry a fifth of what they could, and collide at endpoints that take one call at a
- * time.
+ * One process owns the queue of a stage pool for the whole fleet. With a queue in each process, calls would be poorly
+ * batched and would collide at endpoints that accept one call at a time.
  */
 void ServingReducer::place(StageTask task)
 {
-    if (!m_peers.isSettled(m_now)) {
+    if (!m_peers.isDiscoveryFinished(m_now)) {
         m_heldBack.emplace(task.id, std::move(task));
         return;
     }
@@ -39,13 +37,12 @@
 }
 
 /*
- * Answers the start of a whole fleet: each process takes itself for the owner of every queue until it has met the
- * others. Calls of 26 owners collided at endpoints that take one at a time, and their repeats were over the budget
- * within 0.3 s: 138 requests failed in the two seconds after a loss of power.
+ * Tasks are held back during initial discovery. When a whole fleet starts, each process would otherwise act as the
+ * owner of every queue, and colliding calls would exhaust the retry budget.
  */
 void ServingReducer::placeHeldBack()
 {
-    if (m_heldBack.empty() || !m_peers.isSettled(m_now)) {
+    if (m_heldBack.empty() || !m_peers.isDiscoveryFinished(m_now)) {
         return;
     }
     for (auto &[id, task] : std::exchange(m_heldBack, {})) {
@@ -54,8 +51,8 @@
 }
 
 /*
- * Answers the loss of the process that kept a queue: what it has had made still fills the memory of the endpoints, and
- * calls that its successor sends without regard to that come back without results.
+ * Results that a former queue owner had computed still occupy endpoint memory. Its successor has to account for them;
+ * otherwise endpoints without free memory would drop the results of its calls.
  */
 std::vector<HeldResults> ServingReducer::heldOfOthers(const PoolName &pool, std::uint64_t scheduler) const
 {
@@ -93,11 +90,11 @@
         return;
     }
     if (event.outcomes.empty()) {
-        m_peers.unreached(event.peer, m_now);
+        m_peers.markUnreachable(event.peer, m_now);
         m_effects.emplace_back(
             LogLine{Severity::Warning,
                     Part::Membership,
-                    "A peer that keeps a queue does not answer.",
+                    "Queue owner does not respond, its task is rescheduled.",
                     {{"peer", event.peer.text()}, {"pool", task.pool.text()}, {"request", task.attempt}}});
         place(std::move(task));
         return;
@@ -107,7 +104,7 @@
     }
 }
 
-/*! @brief Tells if a peer keeps the queue of a pool, as far as is known here. */
+/*! @brief Returns whether a peer owns the queue of a pool in this process's membership. */
 bool ServingReducer::isOwner(const InstanceName &peer, const PoolName &pool) const
 {
     const auto owner = m_peers.owner(pool, m_now);
@@ -130,8 +127,8 @@
 }
 
 /*
- * Answers planned stops: two processes that both have work for the same endpoints fill their memory and their queues
- * without knowing of each other. Whatever is not in a call goes to the process that keeps the queue from now on.
+ * Moves the tasks of the selected pools that are not part of a call to the current queue owner. Otherwise both owners
+ * would fill the memory and the queues of the same endpoints without knowing of each other.
  */
 void ServingReducer::handOverQueues(const std::function<bool(const PoolName &pool)> &isTakenOver)
 {
@@ -148,8 +145,8 @@
 }
 
 /*
- * Answers processes that come back: one that keeps a queue again gets all new tasks at once, while its substitute still
- * has a backlog. The substitute gives its tasks up once the others are sure to know of the change too.
+ * A returning owner gets all new tasks at once, while its substitute still has a backlog. The substitute hands the
+ * backlog over after a delay, once all peers know of the change.
  */
 void ServingReducer::handOverLostQueues()
 {
@@ -160,7 +157,7 @@
             continue;
         }
         const TimePoint since = m_lostQueues.try_emplace(pool, m_now).first->second;
-        if (m_now - since >= takeOverTime) {
+        if (m_now - since >= handOverDelay) {
             takenOver.insert(pool);
         }
     }
@@ -176,7 +173,7 @@
         return;
     }
     StageTask task = event.task;
-    task.id = StageTaskId{firstPeerTask + m_nextTask++};
+    task.id = StageTaskId{firstPeerTaskId + m_nextTask++};
     m_peerTasks[task.id] = {event.number, task.pieces, {}};
     m_peerNumbers[event.number] = task.id;
     m_stages.submit(std::move(task), m_now);
@@ -259,7 +256,7 @@
         return std::nullopt;
     }
     const auto owner = m_peers.owner(pool, m_now);
-    const auto wait = owner ? m_peers.toldWait(owner->instance, pool, rank, m_now)
+    const auto wait = owner ? m_peers.reportedWait(owner->instance, pool, rank, m_now)
                             : m_stages.expectedWait(pool, rank, *m_catalog, m_now);
     PoolOutlook out;
     if (wait) {
@@ -272,11 +269,11 @@
     for (const auto &[key, pieces] : ownUpcoming()) {
         own += key.first == pool && key.second <= rank ? pieces : 0;
     }
-    out.upcoming = m_peers.upcoming(pool, rank, own, m_now);
+    out.upcoming = m_peers.upcomingPieces(pool, rank, own, m_now);
     return out;
 }
 
-/*! @brief Counts the pieces of own requests whose stage has not begun, by pool and rank. */
+/*! @brief Counts the pieces of own requests whose stage has not started, by pool and rank. */
 std::map<std::pair<PoolName, int>, std::uint64_t> ServingReducer::ownUpcoming() const
 {
     std::map<std::pair<PoolName, int>, std::uint64_t> out;
--- a/test/bergamottide/serving/fleetstart.cpp
+++ b/test/bergamottide/serving/fleetstart.cpp
@@ -8,15 +8,15 @@
 using namespace bergamottide::serving;
 using test::ServingFixture;
 
-/*! @brief Stage work of a process that does not know yet who owns the queues. */
+/*! @brief Stage tasks of a process that has not finished discovery, so that queue owners are unknown. */
 class FleetStartTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FleetStartTest);
-    CPPUNIT_TEST(processThatHasMetNobodyLeavesStageEndpointsAlone);
-    CPPUNIT_TEST(processThatHasMetTheOthersHandsItsTasksToTheOwner);
-    CPPUNIT_TEST(processThatStaysAloneServesByItself);
-    CPPUNIT_TEST(callerThatLeavesMeanwhileLeavesNothingBehind);
-    CPPUNIT_TEST(peerThatJoinsLaterHoldsNothingUp);
+    CPPUNIT_TEST(processWithoutPeersHoldsBackStageTasks);
+    CPPUNIT_TEST(tasksAreHandedToOwnerAfterDiscovery);
+    CPPUNIT_TEST(processWithoutPeersStartsAfterDiscoveryTimeout);
+    CPPUNIT_TEST(taskOfDisconnectedCallerIsDropped);
+    CPPUNIT_TEST(peerThatJoinsLaterDoesNotDelayTasks);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -28,7 +28,7 @@
         m_fixture.apply(arrival);
     }
 
-    void processThatHasMetNobodyLeavesStageEndpointsAlone()
+    void processWithoutPeersHoldsBackStageTasks()
     {
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
         m_fixture.pass(std::chrono::milliseconds{500});
@@ -36,7 +36,7 @@
         CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>() == nullptr);
     }
 
-    void processThatHasMetTheOthersHandsItsTasksToTheOwner()
+    void tasksAreHandedToOwnerAfterDiscovery()
     {
         m_fixture.pass(std::chrono::milliseconds{50});
         m_fixture.apply(HeartbeatHeard{owner()});
@@ -48,20 +48,20 @@
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
     }
 
-    void processThatStaysAloneServesByItself()
+    void processWithoutPeersStartsAfterDiscoveryTimeout()
     {
         m_fixture.pass(std::chrono::milliseconds{1000});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
     }
 
-    void callerThatLeavesMeanwhileLeavesNothingBehind()
+    void taskOfDisconnectedCallerIsDropped()
     {
         m_fixture.apply(CallerLeft{CallId{1}});
         m_fixture.pass(std::chrono::milliseconds{1000});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
     }
 
-    void peerThatJoinsLaterHoldsNothingUp()
+    void peerThatJoinsLaterDoesNotDelayTasks()
     {
         m_fixture.pass(std::chrono::milliseconds{1000});
         m_fixture.apply(HeartbeatHeard{owner()});
@@ -72,7 +72,7 @@
     }
 
 private:
-    /*! @brief Returns what a peer tells that is the only one strong enough to own queues. */
+    /*! @brief Returns the heartbeat of the only peer strong enough to own queues. */
     [[nodiscard]] static Heartbeat owner()
     {
         Heartbeat out;
--- a/test/bergamottide/serving/largefleet.cpp
+++ b/test/bergamottide/serving/largefleet.cpp
@@ -16,44 +16,44 @@
 using namespace bergamottide::serving;
 using bergamottide::test::PeerFleet;
 
-/*! @brief What a process spends on a fleet of hundreds, counted and not timed. */
+/*! @brief Scalability with fleet size, measured by operation counts instead of time. */
 class LargeFleetTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(LargeFleetTest);
-    CPPUNIT_TEST(viewIsBuiltOnlyWhenSomebodyCountsDifferently);
-    CPPUNIT_TEST(viewEndsWithTheSilenceOfAPeer);
-    CPPUNIT_TEST(viewFollowsWhatAPeerTells);
-    CPPUNIT_TEST(workToldByARelayDoesNotGrowWithTheFleet);
-    CPPUNIT_TEST(workOfTheWholeFleetIsAddedUp);
-    CPPUNIT_TEST(rosterIsToldOnceToEachPeer);
-    CPPUNIT_TEST(fleetOfHundredsMeets);
-    CPPUNIT_TEST(fewProcessesReadThePlatformForAll);
-    CPPUNIT_TEST(processAsksItsOwnZoneFirst);
-    CPPUNIT_TEST(heartbeatsOfALargeFleetStayWithinZonesAndSmallLinks);
-    CPPUNIT_TEST(generationsOfAllAreKnownInAFleetOfSomeDozens);
-    CPPUNIT_TEST(smallFleetReadsThePlatformItself);
-    CPPUNIT_TEST(lostReaderIsReplaced);
-    CPPUNIT_TEST(queueIsReviewedOnlyWhenItHasChanged);
-    CPPUNIT_TEST(queueIsReviewedWhenRoomComesBack);
-    CPPUNIT_TEST(queueIsReviewedWhenTheListOfEndpointsChanges);
-    CPPUNIT_TEST(poolsOfAnEndpointThatIsGoneAreRight);
+    CPPUNIT_TEST(viewIsRebuiltOnlyOnMembershipChange);
+    CPPUNIT_TEST(viewExpiresWithPeerTimeout);
+    CPPUNIT_TEST(viewFollowsPeerState);
+    CPPUNIT_TEST(workReportedByRelayIsAggregated);
+    CPPUNIT_TEST(workOfWholeFleetIsSummed);
+    CPPUNIT_TEST(rosterIsSentOnceToEachPeer);
+    CPPUNIT_TEST(largeFleetDiscoversAllPeers);
+    CPPUNIT_TEST(fewProcessesReadThePlatform);
+    CPPUNIT_TEST(processPrefersReadersOfOwnZone);
+    CPPUNIT_TEST(heartbeatTrafficOfLargeFleetIsBounded);
+    CPPUNIT_TEST(allEngineReportsAreKnownInMediumFleet);
+    CPPUNIT_TEST(smallFleetHasNoReaders);
+    CPPUNIT_TEST(failedReaderIsReplaced);
+    CPPUNIT_TEST(queueIsReviewedOnlyAfterChange);
+    CPPUNIT_TEST(queueIsReviewedWhenResultMemoryIsFreed);
+    CPPUNIT_TEST(queueIsReviewedWhenEndpointListChanges);
+    CPPUNIT_TEST(poolsAreUpdatedWhenEndpointDisappears);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void viewIsBuiltOnlyWhenSomebodyCountsDifferently()
+    void viewIsRebuiltOnlyOnMembershipChange()
     {
         constexpr std::size_t processes = 150;
         PeerFleet fleet{processes, m_now};
         fleet.run(std::chrono::seconds{3});
         const std::size_t before = fleet.viewsBuilt();
-        const std::size_t sent = fleet.sent();
+        const std::size_t sent = fleet.heartbeatsSent();
         fleet.run(std::chrono::seconds{2});
-        // Each process asks for it at least twice for each heartbeat that it sends or answers.
+        // Each heartbeat sent or answered queries the view at least twice.
         CPPUNIT_ASSERT(fleet.viewsBuilt() - before <= processes * 6);
-        CPPUNIT_ASSERT(fleet.sent() - sent >= 3000);
+        CPPUNIT_ASSERT(fleet.heartbeatsSent() - sent >= 3000);
     }
 
-    void viewEndsWithTheSilenceOfAPeer()
+    void viewExpiresWithPeerTimeout()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
         peers.heard(heartbeat("b"), m_now);
@@ -63,7 +63,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, peers.liveCount(m_now + std::chrono::milliseconds{1400}));
     }
 
-    void viewFollowsWhatAPeerTells()
+    void viewFollowsPeerState()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
         Heartbeat other = heartbeat("b");
@@ -77,45 +77,45 @@
         peers.heard(other, m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, peers.liveCount(m_now));
         CPPUNIT_ASSERT(peers.isLive(InstanceName{"b"}, m_now));
-        peers.unreached(InstanceName{"b"}, m_now);
+        peers.markUnreachable(InstanceName{"b"}, m_now);
         CPPUNIT_ASSERT(!peers.isLive(InstanceName{"b"}, m_now));
     }
 
-    void processAsksItsOwnZoneFirst()
+    void processPrefersReadersOfOwnZone()
     {
         for (const std::size_t size : {26U, 300U}) {
             PeerFleet fleet{size, m_now};
             fleet.run(std::chrono::seconds{4});
             for (const std::string &address : fleet.addresses()) {
-                CPPUNIT_ASSERT(fleet.asksItsOwnZoneFirst(address));
+                CPPUNIT_ASSERT(fleet.prefersReadersOfOwnZone(address));
             }
         }
     }
 
-    /*! @brief Entries have links of 10 Mbit/s, of which heartbeats may take half; bytes between zones are paid for. */
-    void heartbeatsOfALargeFleetStayWithinZonesAndSmallLinks()
+    /*! @brief Bounds the bandwidth per process, for links of 10 Mbit/s, and the cross-zone traffic, which is billed. */
+    void heartbeatTrafficOfLargeFleetIsBounded()
     {
-        constexpr std::size_t mostBytesASecond = 600'000;
-        constexpr std::size_t mostBetweenZonesASecond = 4'000'000;
+        constexpr std::size_t maxBytesPerSecond = 600'000;
+        constexpr std::size_t maxCrossZoneBytesPerSecond = 4'000'000;
         PeerFleet fleet{300, m_now};
         fleet.run(std::chrono::seconds{4});
-        fleet.weigh();
+        fleet.recordTraffic();
         fleet.run(std::chrono::seconds{1});
-        CPPUNIT_ASSERT(fleet.mostBytes() < mostBytesASecond);
-        CPPUNIT_ASSERT(fleet.bytesBetweenZones() < mostBetweenZonesASecond);
+        CPPUNIT_ASSERT(fleet.maxBytesSent() < maxBytesPerSecond);
+        CPPUNIT_ASSERT(fleet.crossZoneBytes() < maxCrossZoneBytesPerSecond);
     }
 
-    void generationsOfAllAreKnownInAFleetOfSomeDozens()
+    void allEngineReportsAreKnownInMediumFleet()
     {
         constexpr std::size_t processes = 26;
         PeerFleet fleet{processes, m_now};
         fleet.run(std::chrono::seconds{3});
-        fleet.weigh();
+        fleet.recordTraffic();
         fleet.run(std::chrono::seconds{1});
-        CPPUNIT_ASSERT_EQUAL(processes - 1, fleet.fewestOrigins());
+        CPPUNIT_ASSERT_EQUAL(processes - 1, fleet.minOriginCount());
     }
 
-    void workToldByARelayDoesNotGrowWithTheFleet()
+    void workReportedByRelayIsAggregated()
     {
         Peers relay{{InstanceName{"relay"}, "relay:1", 0.5}, {}};
         for (int number = 0; number < 103; ++number) {
@@ -133,7 +133,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, out.upcoming.size());
     }
 
-    void workOfTheWholeFleetIsAddedUp()
+    void workOfWholeFleetIsSummed()
     {
         Peers relay{{InstanceName{"relay"}, "relay:1", 0.5}, {}};
         Heartbeat leaf = heartbeat("leaf");
@@ -149,13 +149,13 @@
         toLeaf.upcoming.push_back({PoolName{"encoders"}, 1, 500});
         relay.complete(toLeaf, "leaf:1", m_now);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{530}, toLeaf.upcoming.front().pieces);
-        // The other relay is not told again what it has told itself.
+        // Work that the other relay has reported is not sent back to it.
         Heartbeat toRelay;
         relay.complete(toRelay, "other:1", m_now);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, toRelay.upcoming.front().pieces);
     }
 
-    void rosterIsToldOnceToEachPeer()
+    void rosterIsSentOnceToEachPeer()
     {
         Peers one{{InstanceName{"one"}, "one:1", 0.5}, {}};
         Peers two{{InstanceName{"two"}, "two:1", 0.5}, {}};
@@ -169,34 +169,34 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, two.liveCount(m_now));
     }
 
-    void fleetOfHundredsMeets()
+    void largeFleetDiscoversAllPeers()
     {
         PeerFleet fleet{350, m_now};
         fleet.run(std::chrono::seconds{3});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{349}, fleet.fewestLive());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{349}, fleet.minLiveCount());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.ownersOf(PoolName{"pool"}).size());
     }
 
-    void fewProcessesReadThePlatformForAll()
+    void fewProcessesReadThePlatform()
     {
-        for (const auto &[size, most] : {std::pair{18, 3}, {103, 3}, {300, 9}}) {
+        for (const auto &[size, expected] : {std::pair{18, 3}, {103, 3}, {300, 9}}) {
             PeerFleet fleet{static_cast<std::size_t>(size), m_now};
             fleet.run(std::chrono::seconds{3});
             const std::set<std::string> readers = fleet.readers();
-            CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(most), readers.size());
-            // Those whom others ask read for themselves, and nobody else does.
-            CPPUNIT_ASSERT(readers == fleet.withoutReaders());
+            CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(expected), readers.size());
+            // Exactly the selected readers read the platform themselves.
+            CPPUNIT_ASSERT(readers == fleet.addressesWithoutReaders());
         }
     }
 
-    void smallFleetReadsThePlatformItself()
+    void smallFleetHasNoReaders()
     {
         PeerFleet fleet{8, m_now};
         fleet.run(std::chrono::seconds{3});
         CPPUNIT_ASSERT(fleet.readers().empty());
     }
 
-    void lostReaderIsReplaced()
+    void failedReaderIsReplaced()
     {
         PeerFleet fleet{103, m_now};
         fleet.run(std::chrono::seconds{3});
@@ -205,12 +205,12 @@
         fleet.run(std::chrono::seconds{3});
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fleet.readers().size());
         CPPUNIT_ASSERT(!fleet.readers().contains(lost));
-        CPPUNIT_ASSERT(fleet.readers() == fleet.withoutReaders());
+        CPPUNIT_ASSERT(fleet.readers() == fleet.addressesWithoutReaders());
     }
 
-    void queueIsReviewedOnlyWhenItHasChanged()
+    void queueIsReviewedOnlyAfterChange()
     {
-        queueBehindABusyEndpoint();
+        queueTaskBehindBusyEndpoint();
         const std::size_t before = m_scheduler.reviews();
         for (int event = 0; event < 1000; ++event) {
             m_now += std::chrono::microseconds{5};
@@ -222,16 +222,16 @@
         CPPUNIT_ASSERT_EQUAL(before + 1, m_scheduler.reviews());
     }
 
-    void queueIsReviewedWhenRoomComesBack()
+    void queueIsReviewedWhenResultMemoryIsFreed()
     {
-        queueBehindABusyEndpoint();
+        queueTaskBehindBusyEndpoint();
         const std::size_t before = m_scheduler.reviews();
         m_scheduler.released("some result");
         dispatch();
         CPPUNIT_ASSERT_EQUAL(before + 1, m_scheduler.reviews());
     }
 
-    void queueIsReviewedWhenTheListOfEndpointsChanges()
+    void queueIsReviewedWhenEndpointListChanges()
     {
         list({"encoder-1"});
         submit(1);
@@ -243,14 +243,14 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dispatch());
     }
 
-    void poolsOfAnEndpointThatIsGoneAreRight()
+    void poolsAreUpdatedWhenEndpointDisappears()
     {
         list({"encoder-1", "encoder-2"});
         m_endpoints.started(InstanceName{"encoder-1"});
         list({"encoder-2"});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_endpoints.usable(PoolName{"encoders"}, m_now).size());
         Effects ignored;
-        // Its work is over: the endpoint is forgotten.
+        // Its last call has ended, so the endpoint is removed.
         m_endpoints.ended(InstanceName{"encoder-1"}, EndpointSign::Failed, m_now, ignored);
         CPPUNIT_ASSERT(m_endpoints.find(InstanceName{"encoder-1"}) == nullptr);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_endpoints.usable(PoolName{"encoders"}, m_now).size());
@@ -267,7 +267,7 @@
         return out;
     }
 
-    /*! @brief Sends a heartbeat from one to the other, and tells if it carried the roster. */
+    /*! @brief Sends a heartbeat from one process to the other and returns whether it contained the roster. */
     bool exchange(const Peers &from, Peers &to)
     {
         Heartbeat out;
@@ -299,8 +299,8 @@
         m_scheduler.submit(std::move(task), m_now);
     }
 
-    /*! @brief Has the only endpoint take a call, and a task wait behind it that was reviewed just now. */
-    void queueBehindABusyEndpoint()
+    /*! @brief Occupies the only endpoint with a call, and queues another task that has just been reviewed. */
+    void queueTaskBehindBusyEndpoint()
     {
         list({"encoder-1"});
         submit(1);
@@ -309,7 +309,7 @@
         dispatch();
     }
 
-    /*! @brief Dispatches, and returns the number of calls that were sent. */
+    /*! @brief Dispatches and returns the number of calls started. */
     std::size_t dispatch()
     {
         Effects effects;
--- a/test/bergamottide/serving/peerfleet.h
+++ b/test/bergamottide/serving/peerfleet.h
@@ -16,14 +16,14 @@
 
 namespace bergamottide::test {
 
-/*! @brief Views of many processes that exchange heartbeats without delay, under a virtual clock. */
+/*! @brief Simulates the membership of many processes that exchange heartbeats without delay, on a virtual clock. */
 class PeerFleet
 {
 public:
     /**
-     * @brief Starts processes that know three seeds, one of which does not exist; every fourth is strong.
+     * @brief Starts processes with three seeds, one of which does not exist; every fourth one has a higher strength.
      * @param size Number of processes.
-     * @param now Time of their start.
+     * @param now Start time.
      */
     PeerFleet(std::size_t size, TimePoint now)
         : m_now{now}
@@ -32,182 +32,182 @@
             const std::string name = "entry-" + std::to_string(index);
             const serving::PeerInfo self{InstanceName{name}, name + ":1", index % 4 == 0 ? 0.5 : 0.1,
                                          ZoneName{"zone-" + std::to_string(index % 3)}};
-            m_views.emplace(name + ":1", serving::Peers{self, {"entry-0:1", "entry-1:1", "gone:1"}});
-            m_views.at(name + ":1").setOwnsQueues(true);
+            m_processes.emplace(name + ":1", serving::Peers{self, {"entry-0:1", "entry-1:1", "gone:1"}});
+            m_processes.at(name + ":1").setOwnsQueues(true);
         }
     }
 
-    /*! @brief Lets time pass, in ticks of 50 ms. */
+    /*! @brief Advances the clock in ticks of 50 ms. */
     void run(Duration time)
     {
         constexpr Duration tick = std::chrono::milliseconds{50};
         for (const TimePoint end = m_now + time; m_now < end; m_now += tick) {
-            for (auto &[address, view] : m_views) {
-                for (const std::string &to : view.due(m_now)) {
+            for (auto &[address, process] : m_processes) {
+                for (const std::string &to : process.due(m_now)) {
                     exchange(address, to);
                 }
             }
         }
     }
 
-    /*! @brief Has a process tell that it drains, for some time, and then start anew; others run on. */
+    /*! @brief Drains a process, stops it, and starts it again, while the others keep running. */
     void restart(const InstanceName &instance, Duration drain, Duration down)
     {
         m_draining.insert(instance);
         run(drain);
         m_draining.erase(instance);
-        const serving::PeerInfo self = m_views.at(instance.text() + ":1").self();
+        const serving::PeerInfo self = m_processes.at(instance.text() + ":1").self();
         stop(instance);
         run(down);
-        m_views.emplace(self.address, serving::Peers{self, {"entry-0:1", "entry-1:1", "gone:1"}});
-        m_views.at(self.address).setOwnsQueues(true);
+        m_processes.emplace(self.address, serving::Peers{self, {"entry-0:1", "entry-1:1", "gone:1"}});
+        m_processes.at(self.address).setOwnsQueues(true);
     }
 
-    /*! @brief Ends a process. */
+    /*! @brief Stops a process without draining it. */
     void stop(const InstanceName &instance)
     {
-        m_views.erase(instance.text() + ":1");
+        m_processes.erase(instance.text() + ":1");
     }
 
-    /*! @brief Has each process report two generations with each heartbeat, and weighs what is sent from now on. */
-    void weigh()
+    /*! @brief Starts to count the bytes sent, and adds a report of two prompts to each heartbeat. */
+    void recordTraffic()
     {
-        m_bytes.emplace();
+        m_bytesSent.emplace();
     }
 
-    /*! @brief Returns the bytes that the busiest process has sent since they are weighed. */
-    [[nodiscard]] std::size_t mostBytes() const
+    /*! @brief Returns the bytes sent by the busiest process since recording started. */
+    [[nodiscard]] std::size_t maxBytesSent() const
     {
-        std::size_t most = 0;
-        for (const auto &[address, bytes] : *m_bytes) {
-            most = std::max(most, bytes);
+        std::size_t maximum = 0;
+        for (const auto &[address, bytes] : *m_bytesSent) {
+            maximum = std::max(maximum, bytes);
         }
-        return most;
+        return maximum;
     }
 
-    /*! @brief Returns the bytes that have crossed zones since they are weighed. */
-    [[nodiscard]] std::size_t bytesBetweenZones() const noexcept
+    /*! @brief Returns the bytes sent across zones since recording started. */
+    [[nodiscard]] std::size_t crossZoneBytes() const noexcept
     {
-        return m_bytesBetweenZones;
+        return m_crossZoneBytes;
     }
 
-    /*! @brief Returns how many origins of reports have reached a process, at least, since they are weighed. */
-    [[nodiscard]] std::size_t fewestOrigins() const
+    /*! @brief Returns the minimum number of report origins received by a process since recording started. */
+    [[nodiscard]] std::size_t minOriginCount() const
     {
-        std::size_t fewest = std::numeric_limits<std::size_t>::max();
+        std::size_t minimum = std::numeric_limits<std::size_t>::max();
         for (const auto &[address, origins] : m_origins) {
-            fewest = std::min(fewest, origins.size());
+            minimum = std::min(minimum, origins.size());
         }
-        return fewest;
+        return minimum;
     }
 
-    /*! @brief Tells if the processes that read the platform for a process, or its relay, are first of its own zone. */
-    [[nodiscard]] bool asksItsOwnZoneFirst(const std::string &address) const
+    /*! @brief Returns whether the preferred platform reader of a process, if any, is in its own zone. */
+    [[nodiscard]] bool prefersReadersOfOwnZone(const std::string &address) const
     {
-        const serving::Peers &view = m_views.at(address);
-        const std::vector<std::string> readers = view.readers(m_now);
-        return readers.empty() || m_views.at(readers.front()).self().zone == view.self().zone;
+        const serving::Peers &process = m_processes.at(address);
+        const std::vector<std::string> readers = process.readers(m_now);
+        return readers.empty() || m_processes.at(readers.front()).self().zone == process.self().zone;
     }
 
     /*! @brief Returns the addresses of all processes. */
     [[nodiscard]] std::vector<std::string> addresses() const
     {
         std::vector<std::string> out;
-        for (const auto &[address, view] : m_views) {
+        for (const auto &[address, process] : m_processes) {
             out.push_back(address);
         }
         return out;
     }
 
-    /*! @brief Keeps a process from all others, both ways, until it is joined again. */
+    /*! @brief Disconnects a process from all others in both directions. */
     void cutOff(const InstanceName &instance)
     {
-        m_cutOff.insert(instance);
+        m_disconnected.insert(instance);
     }
 
-    /*! @brief Returns the units of something that the processes hold together. */
+    /*! @brief Returns the sum of the shares of all processes in a resource. */
     [[nodiscard]] std::uint32_t dealt(const std::string &key, std::uint32_t units) const
     {
         std::uint32_t sum = 0;
-        for (const auto &[address, view] : m_views) {
-            sum += view.share(key, units, m_now);
+        for (const auto &[address, process] : m_processes) {
+            sum += process.share(key, units, m_now);
         }
         return sum;
     }
 
-    /*! @brief Returns the units of something that one process holds, by its place in the order of addresses. */
-    [[nodiscard]] std::uint32_t shareOf(std::size_t place, const std::string &key, std::uint32_t units) const
+    /*! @brief Returns the share of one process in a resource, by its position in the order of addresses. */
+    [[nodiscard]] std::uint32_t shareOf(std::size_t position, const std::string &key, std::uint32_t units) const
     {
-        return std::next(m_views.begin(), static_cast<std::ptrdiff_t>(place))->second.share(key, units, m_now);
+        return std::next(m_processes.begin(), static_cast<std::ptrdiff_t>(position))->second.share(key, units, m_now);
     }
 
-    /*! @brief Returns the number of heartbeats sent, answers not counted. */
-    [[nodiscard]] std::size_t sent() const noexcept
+    /*! @brief Returns the number of heartbeats sent, without responses. */
+    [[nodiscard]] std::size_t heartbeatsSent() const noexcept
     {
-        return m_sent;
+        return m_heartbeatsSent;
     }
 
-    /*! @brief Returns how often the processes have worked out their view of the fleet, added up. */
+    /*! @brief Returns how often all processes together have rebuilt their membership view. */
     [[nodiscard]] std::size_t viewsBuilt() const
     {
         std::size_t sum = 0;
-        for (const auto &[address, view] : m_views) {
-            sum += view.viewsBuilt();
+        for (const auto &[address, process] : m_processes) {
+            sum += process.viewsBuilt();
         }
         return sum;
     }
 
-    /*! @brief Returns the addresses of the processes that any process has the platform read by. */
+    /*! @brief Returns the addresses of all processes that read the platform for another one. */
     [[nodiscard]] std::set<std::string> readers() const
     {
         std::set<std::string> out;
-        for (const auto &[address, view] : m_views) {
-            const std::vector<std::string> readers = view.readers(m_now);
+        for (const auto &[address, process] : m_processes) {
+            const std::vector<std::string> readers = process.readers(m_now);
             out.insert(readers.begin(), readers.end());
         }
         return out;
     }
 
     /*! @brief Returns the addresses of the processes that read the platform themselves. */
-    [[nodiscard]] std::set<std::string> withoutReaders() const
+    [[nodiscard]] std::set<std::string> addressesWithoutReaders() const
     {
         std::set<std::string> out;
-        for (const auto &[address, view] : m_views) {
-            if (view.readers(m_now).empty()) {
+        for (const auto &[address, process] : m_processes) {
+            if (process.readers(m_now).empty()) {
                 out.insert(address);
             }
         }
         return out;
     }
 
-    /*! @brief Returns the processes that any process takes for the owner of a pool's queue. */
+    /*! @brief Returns the processes that any process considers the owner of a pool's queue. */
     [[nodiscard]] std::set<InstanceName> ownersOf(const PoolName &pool) const
     {
         std::set<InstanceName> out;
-        for (const auto &[address, view] : m_views) {
-            const auto owner = view.owner(pool, m_now);
-            out.insert(owner ? owner->instance : view.self().instance);
+        for (const auto &[address, process] : m_processes) {
+            const auto owner = process.owner(pool, m_now);
+            out.insert(owner ? owner->instance : process.self().instance);
         }
         return out;
     }
 
-    /*! @brief Returns the smallest number of peers that a process takes for alive. */
-    [[nodiscard]] std::size_t fewestLive() const
+    /*! @brief Returns the minimum number of live peers known to a process. */
+    [[nodiscard]] std::size_t minLiveCount() const
     {
-        std::size_t fewest = std::numeric_limits<std::size_t>::max();
-        for (const auto &[address, view] : m_views) {
-            fewest = std::min(fewest, view.live(m_now).size());
+        std::size_t minimum = std::numeric_limits<std::size_t>::max();
+        for (const auto &[address, process] : m_processes) {
+            minimum = std::min(minimum, process.live(m_now).size());
         }
-        return fewest;
+        return minimum;
     }
 
 private:
     void exchange(const std::string &from, const std::string &to)
     {
-        ++m_sent;
-        const auto receiver = m_views.find(to);
-        if (receiver == m_views.end() || m_cutOff.contains(m_views.at(from).self().instance)
-            || m_cutOff.contains(receiver->second.self().instance)) {
+        ++m_heartbeatsSent;
+        const auto receiver = m_processes.find(to);
+        if (receiver == m_processes.end() || m_disconnected.contains(m_processes.at(from).self().instance)
+            || m_disconnected.contains(receiver->second.self().instance)) {
             return;
         }
         deliver(from, to);
@@ -216,30 +216,30 @@
 
     void deliver(const std::string &from, const std::string &to)
     {
-        const serving::Heartbeat told = heartbeat(from, to);
-        m_views.at(to).heard(told, m_now);
-        if (!m_bytes) {
+        const serving::Heartbeat message = heartbeat(from, to);
+        m_processes.at(to).heard(message, m_now);
+        if (!m_bytesSent) {
             return;
         }
-        for (const engines::EngineReport &report : told.engines) {
+        for (const engines::EngineReport &report : message.engines) {
             m_origins[to].insert(report.origin);
         }
-        constexpr std::size_t headBytes = 200;
-        const std::size_t bytes = peerwire::write(told).size() + headBytes;
-        (*m_bytes)[from] += bytes;
-        const bool crosses = m_views.at(from).self().zone != m_views.at(to).self().zone;
-        m_bytesBetweenZones += crosses ? bytes : 0;
+        constexpr std::size_t headerBytes = 200;
+        const std::size_t bytes = peerwire::write(message).size() + headerBytes;
+        (*m_bytesSent)[from] += bytes;
+        const bool crosses = m_processes.at(from).self().zone != m_processes.at(to).self().zone;
+        m_crossZoneBytes += crosses ? bytes : 0;
     }
 
     [[nodiscard]] serving::Heartbeat heartbeat(const std::string &from, const std::string &to) const
     {
         serving::Heartbeat out;
-        out.draining = m_draining.contains(m_views.at(from).self().instance);
+        out.draining = m_draining.contains(m_processes.at(from).self().instance);
         out.ownsQueues = !out.draining;
-        if (m_bytes) {
-            out.engines.push_back(report(m_views.at(from).self().instance));
+        if (m_bytesSent) {
+            out.engines.push_back(report(m_processes.at(from).self().instance));
         }
-        m_views.at(from).complete(out, to, m_now);
+        m_processes.at(from).complete(out, to, m_now);
         return out;
     }
 
@@ -253,14 +253,14 @@
     }
 
     TimePoint m_now;
-    /*! @brief Bytes that each process has sent; nothing unless they are weighed. */
-    std::optional<std::map<std::string, std::size_t>> m_bytes;
-    std::size_t m_bytesBetweenZones{};
+    /*! @brief Bytes sent by each process; nothing unless traffic is recorded. */
+    std::optional<std::map<std::string, std::size_t>> m_bytesSent;
+    std::size_t m_crossZoneBytes{};
     std::map<std::string, std::set<InstanceName>> m_origins;
-    std::map<std::string, serving::Peers> m_views;
+    std::map<std::string, serving::Peers> m_processes;
     std::set<InstanceName> m_draining;
-    std::set<InstanceName> m_cutOff;
-    std::size_t m_sent{};
+    std::set<InstanceName> m_disconnected;
+    std::size_t m_heartbeatsSent{};
 };
 
 } // namespace bergamottide::test
--- a/test/bergamottide/serving/peers.cpp
+++ b/test/bergamottide/serving/peers.cpp
@@ -13,44 +13,44 @@
 using bergamottide::test::ServingFixture;
 using Fleet = bergamottide::test::PeerFleet;
 
-/*! @brief What processes know of each other, and what becomes of work handed to one that is lost. */
+/*! @brief Membership, queue ownership and handed over tasks; also EndpointDirectory and EventSplitter. */
 class ServingPeersTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServingPeersTest);
-    CPPUNIT_TEST(processesThatSeeTheSamePeersAgreeOnTheOwner);
-    CPPUNIT_TEST(silentPeerKeepsNoQueue);
-    CPPUNIT_TEST(drainingPeerKeepsNoQueue);
-    CPPUNIT_TEST(addressesOfPeersAreLearntFromPeers);
-    CPPUNIT_TEST(addressOfAPeerThatIsLongGoneIsNotAskedAnyMore);
-    CPPUNIT_TEST(peerThatKnowsNoConfigurationKeepsNoQueue);
-    CPPUNIT_TEST(processWithoutConfigurationSendsTasksBack);
-    CPPUNIT_TEST(drainingProcessHandsItsQueueOver);
-    CPPUNIT_TEST(queueIsHandedOverWhenAnotherKeepsIt);
-    CPPUNIT_TEST(taskGivenBackByAFormerOwnerIsNoSilence);
-    CPPUNIT_TEST(taskTellsOfResultsThatAnotherOwnerHadMade);
-    CPPUNIT_TEST(workOnItsWayToAPoolIsTold);
-    CPPUNIT_TEST(taskOfALostOwnerIsDoneHere);
-    CPPUNIT_TEST(resultsForAPeerThatLeftAreFreed);
-    CPPUNIT_TEST(endpointThatVanishesWithTheListIsKeptForAWhile);
-    CPPUNIT_TEST(endpointThatVanishesAfterTheListsReturnIsGone);
-    CPPUNIT_TEST(endpointThatDrainsIsNotKept);
-    CPPUNIT_TEST(endpointRemovedInCalmTimesIsGoneAtOnce);
-    CPPUNIT_TEST(endpointThatStartsAnewUnderItsNameDrainsNoMore);
-    CPPUNIT_TEST(entryThatCannotBeReadIsNotKept);
-    CPPUNIT_TEST(endpointThatStartsAnewIsJudgedAnew);
-    CPPUNIT_TEST(splitterKeepsUnfinishedEventsBack);
-    CPPUNIT_TEST(splitterDropsWhatWasPassedOnAndSeesGaps);
-    CPPUNIT_TEST(strongestProcessesAreRelaysAndOwnTheQueues);
-    CPPUNIT_TEST(heartbeatsOfAProcessDoNotGrowWithTheFleet);
+    CPPUNIT_TEST(processesWithSamePeersAgreeOnQueueOwner);
+    CPPUNIT_TEST(silentPeerIsNotLive);
+    CPPUNIT_TEST(drainingPeerTakesNoWorkButIsLive);
+    CPPUNIT_TEST(addressesAreLearntFromRoster);
+    CPPUNIT_TEST(addressOfRemovedPeerIsNotProbed);
+    CPPUNIT_TEST(peerWithoutConfigurationOwnsNoQueue);
+    CPPUNIT_TEST(processWithoutConfigurationReturnsTasks);
+    CPPUNIT_TEST(drainingProcessHandsOverItsQueue);
+    CPPUNIT_TEST(queueIsHandedOverToNewOwner);
+    CPPUNIT_TEST(taskReturnedByFormerOwnerDoesNotMarkItDead);
+    CPPUNIT_TEST(taskListsResultsComputedForFormerOwner);
+    CPPUNIT_TEST(upcomingWorkIsReported);
+    CPPUNIT_TEST(taskOfFailedOwnerRunsLocally);
+    CPPUNIT_TEST(resultsOfAbandonedPeerTaskAreFreed);
+    CPPUNIT_TEST(endpointMissingAfterListOutageIsKeptForGracePeriod);
+    CPPUNIT_TEST(removalAfterGracePeriodTakesEffectAtOnce);
+    CPPUNIT_TEST(drainingEndpointHasNoGracePeriod);
+    CPPUNIT_TEST(removalWithoutOutageTakesEffectAtOnce);
+    CPPUNIT_TEST(restartedEndpointNoLongerDrains);
+    CPPUNIT_TEST(invalidEndpointEntryHasNoGracePeriod);
+    CPPUNIT_TEST(restartedEndpointIsReset);
+    CPPUNIT_TEST(splitterBuffersIncompleteEvents);
+    CPPUNIT_TEST(splitterDropsForwardedEventsAndDetectsGaps);
+    CPPUNIT_TEST(strongestProcessesAreRelaysAndOwnQueues);
+    CPPUNIT_TEST(heartbeatRatePerProcessIsBounded);
     CPPUNIT_TEST(fleetOfAnySizeAgreesOnOwners);
-    CPPUNIT_TEST(generationsToldDoNotGrowWithTheFleet);
-    CPPUNIT_TEST(processThatIsLostIsGoneEverywhereSoon);
-    CPPUNIT_TEST(fleetAgreesOnOwnersAfterARollingRestart);
-    CPPUNIT_TEST(unreachedOwnerIsTriedAgain);
+    CPPUNIT_TEST(forwardedEngineReportsAreBounded);
+    CPPUNIT_TEST(failedOwnerIsReplacedEverywhere);
+    CPPUNIT_TEST(fleetAgreesOnOwnersAfterRollingRestart);
+    CPPUNIT_TEST(unreachableOwnerIsRetried);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void processesThatSeeTheSamePeersAgreeOnTheOwner()
+    void processesWithSamePeersAgreeOnQueueOwner()
     {
         Peers one{{InstanceName{"a"}, "a:1"}, {}};
         Peers other{{InstanceName{"b"}, "b:1"}, {}};
@@ -65,19 +65,19 @@
         }
     }
 
-    void silentPeerKeepsNoQueue()
+    void silentPeerIsNotLive()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
         peers.heard(heartbeat("b"), m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, peers.live(m_now).size());
         CPPUNIT_ASSERT(peers.live(m_now + std::chrono::seconds{1}).empty());
-        peers.unreached(InstanceName{"b"}, m_now);
+        peers.markUnreachable(InstanceName{"b"}, m_now);
         CPPUNIT_ASSERT(peers.live(m_now).empty());
         peers.heard(heartbeat("b"), m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, peers.live(m_now).size());
     }
 
-    void drainingPeerKeepsNoQueue()
+    void drainingPeerTakesNoWorkButIsLive()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
         Heartbeat draining = heartbeat("b");
@@ -87,18 +87,18 @@
         CPPUNIT_ASSERT(peers.isLive(InstanceName{"b"}, m_now));
     }
 
-    void addressesOfPeersAreLearntFromPeers()
+    void addressesAreLearntFromRoster()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {"b:1", "a:1"}};
         CPPUNIT_ASSERT((peers.due(m_now) == std::vector<std::string>{"b:1"}));
-        Heartbeat told = heartbeat("b");
-        told.roster = {{{InstanceName{"c"}, "c:1"}, true}, {{InstanceName{"a"}, "a:1"}, true}};
-        told.isRelay = true;
-        peers.heard(told, m_now);
+        Heartbeat report = heartbeat("b");
+        report.roster = {{{InstanceName{"c"}, "c:1"}, true}, {{InstanceName{"a"}, "a:1"}, true}};
+        report.isRelay = true;
+        peers.heard(report, m_now);
         CPPUNIT_ASSERT((peers.due(m_now) == std::vector<std::string>{"c:1"}));
     }
 
-    void addressOfAPeerThatIsLongGoneIsNotAskedAnyMore()
+    void addressOfRemovedPeerIsNotProbed()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {"b:1"}};
         peers.heard(heartbeat("b"), m_now);
@@ -107,7 +107,7 @@
         CPPUNIT_ASSERT((peers.due(m_now + std::chrono::seconds{61}) == std::vector<std::string>{"b:1"}));
     }
 
-    void peerThatKnowsNoConfigurationKeepsNoQueue()
+    void peerWithoutConfigurationOwnsNoQueue()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
         Heartbeat starting = heartbeat("b");
@@ -119,7 +119,7 @@
         }
     }
 
-    void processWithoutConfigurationSendsTasksBack()
+    void processWithoutConfigurationReturnsTasks()
     {
         ServingOptions options;
         options.self = {InstanceName{"new"}, "10.0.0.9:1"};
@@ -134,42 +134,42 @@
         CPPUNIT_ASSERT(std::get<AnswerPeerTask>(effects.front()).outcomes.empty());
         const TimePoint later = m_now + std::chrono::seconds{1};
         static_cast<void>(reducer.apply(Tick{}, later));
-        // A wakeup that is due at once after a tick would never let the process rest.
+        // A wakeup that is due right after a tick would cause a busy loop.
         CPPUNIT_ASSERT(reducer.nextWakeup().value() > later);
     }
 
-    void drainingProcessHandsItsQueueOver()
+    void drainingProcessHandsOverItsQueue()
     {
         m_fixture.apply(PeerTaskArrived{PeerTaskNumber{1}, encoderTask("first", 8)});
         m_fixture.apply(PeerTaskArrived{PeerTaskNumber{2}, encoderTask("second", 8)});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
         m_fixture.apply(HeartbeatHeard{heartbeat("b")});
         m_fixture.apply(DrainRequested{});
-        const auto *moved = m_fixture.effect<AnswerPeerTask>();
-        CPPUNIT_ASSERT(moved != nullptr);
-        CPPUNIT_ASSERT(moved->number == PeerTaskNumber{2});
-        CPPUNIT_ASSERT(moved->outcomes.empty());
+        const auto *returned = m_fixture.effect<AnswerPeerTask>();
+        CPPUNIT_ASSERT(returned != nullptr);
+        CPPUNIT_ASSERT(returned->number == PeerTaskNumber{2});
+        CPPUNIT_ASSERT(returned->outcomes.empty());
     }
 
-    void queueIsHandedOverWhenAnotherKeepsIt()
+    void queueIsHandedOverToNewOwner()
     {
         const Heartbeat owner = heartbeat(findOwner().text());
-        // The pieces of the second task wait, since the only encoder takes one call at a time.
+        // The second task is queued, since the only encoder accepts one call at a time.
         m_fixture.apply(PeerTaskArrived{PeerTaskNumber{1}, encoderTask("first", 8)});
         m_fixture.apply(PeerTaskArrived{PeerTaskNumber{2}, encoderTask("second", 8)});
         m_fixture.apply(HeartbeatHeard{owner});
         m_fixture.pass(std::chrono::milliseconds{200});
         m_fixture.apply(HeartbeatHeard{owner});
-        // Not all processes have heard of the other yet.
+        // Other processes may not know the new owner yet.
         CPPUNIT_ASSERT(m_fixture.effect<AnswerPeerTask>() == nullptr);
         m_fixture.pass(std::chrono::milliseconds{400});
-        const auto *moved = m_fixture.effect<AnswerPeerTask>();
-        CPPUNIT_ASSERT(moved != nullptr);
-        CPPUNIT_ASSERT(moved->number == PeerTaskNumber{2});
-        CPPUNIT_ASSERT(moved->outcomes.empty());
+        const auto *returned = m_fixture.effect<AnswerPeerTask>();
+        CPPUNIT_ASSERT(returned != nullptr);
+        CPPUNIT_ASSERT(returned->number == PeerTaskNumber{2});
+        CPPUNIT_ASSERT(returned->outcomes.empty());
     }
 
-    void taskGivenBackByAFormerOwnerIsNoSilence()
+    void taskReturnedByFormerOwnerDoesNotMarkItDead()
     {
         const Heartbeat owner = heartbeat(findOwner().text());
         m_fixture.apply(HeartbeatHeard{owner});
@@ -181,12 +181,12 @@
         leaves.ownsQueues = false;
         m_fixture.apply(HeartbeatHeard{leaves});
         m_fixture.apply(HandedTaskEnded{task, owner.from.instance, {}, true});
-        // It is done here, and the peer still counts as alive.
+        // The task runs locally, and the peer still counts as alive.
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_fixture.reducer().livePeers(m_fixture.now()).size());
     }
 
-    void taskTellsOfResultsThatAnotherOwnerHadMade()
+    void taskListsResultsComputedForFormerOwner()
     {
         RequestArrived arrival = m_fixture.arrival("/draft/1");
         arrival.request.pieces = {2};
@@ -205,22 +205,22 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, handed->task.held.front().bytes);
     }
 
-    void workOnItsWayToAPoolIsTold()
+    void upcomingWorkIsReported()
     {
         RequestArrived arrival = m_fixture.arrival("/report/1");
         arrival.request.pieces = {1, 6};
         m_fixture.apply(arrival);
-        const Heartbeat told = m_fixture.reducer().heartbeat("b:1", m_fixture.now());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.upcoming.size());
-        CPPUNIT_ASSERT(told.upcoming.front().pool == PoolName{"rerankers"});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, told.upcoming.front().pieces);
+        const Heartbeat report = m_fixture.reducer().heartbeat("b:1", m_fixture.now());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, report.upcoming.size());
+        CPPUNIT_ASSERT(report.upcoming.front().pool == PoolName{"rerankers"});
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, report.upcoming.front().pieces);
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
-        peers.heard(told, m_now);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, peers.upcoming(PoolName{"rerankers"}, 0, 0, m_now));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, peers.upcoming(PoolName{"encoders"}, 0, 0, m_now));
+        peers.heard(report, m_now);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, peers.upcomingPieces(PoolName{"rerankers"}, 0, 0, m_now));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, peers.upcomingPieces(PoolName{"encoders"}, 0, 0, m_now));
     }
 
-    void taskOfALostOwnerIsDoneHere()
+    void taskOfFailedOwnerRunsLocally()
     {
         const InstanceName owner = findOwner();
         m_fixture.apply(HeartbeatHeard{heartbeat(owner.text())});
@@ -234,7 +234,7 @@
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
     }
 
-    void resultsForAPeerThatLeftAreFreed()
+    void resultsOfAbandonedPeerTaskAreFreed()
     {
         StageTask task;
         task.pool = PoolName{"encoders"};
@@ -254,7 +254,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"h-1"}, freed->handles.front());
     }
 
-    void endpointThatVanishesWithTheListIsKeptForAWhile()
+    void endpointMissingAfterListOutageIsKeptForGracePeriod()
     {
         EndpointDirectory directory;
         directory.put(record("e"), m_now);
@@ -270,7 +270,7 @@
         CPPUNIT_ASSERT(list->empty());
     }
 
-    void endpointThatVanishesAfterTheListsReturnIsGone()
+    void removalAfterGracePeriodTakesEffectAtOnce()
     {
         EndpointDirectory directory;
         directory.put(record("e"), m_now);
@@ -282,7 +282,7 @@
         CPPUNIT_ASSERT(directory.takeChange(m_now)->empty());
     }
 
-    void endpointThatDrainsIsNotKept()
+    void drainingEndpointHasNoGracePeriod()
     {
         EndpointDirectory directory;
         directory.put(record("e", true), m_now);
@@ -295,7 +295,7 @@
         CPPUNIT_ASSERT(directory.takeChange(m_now)->empty());
     }
 
-    void endpointRemovedInCalmTimesIsGoneAtOnce()
+    void removalWithoutOutageTakesEffectAtOnce()
     {
         EndpointDirectory directory;
         directory.put(record("e"), m_now);
@@ -303,7 +303,7 @@
         CPPUNIT_ASSERT(directory.takeChange(m_now)->empty());
     }
 
-    void endpointThatStartsAnewUnderItsNameDrainsNoMore()
+    void restartedEndpointNoLongerDrains()
     {
         EndpointDirectory directory;
         EndpointRecord record{InstanceName{"a"}, PoolName{"p"}, "a:1", ZoneName{"z"}, 1, true, 1};
@@ -319,7 +319,7 @@
         CPPUNIT_ASSERT(!list->front().draining);
     }
 
-    void entryThatCannotBeReadIsNotKept()
+    void invalidEndpointEntryHasNoGracePeriod()
     {
         EndpointDirectory directory;
         directory.put({InstanceName{"a"}, PoolName{"p"}, "a:1", ZoneName{"z"}, 1, false, 1}, m_now);
@@ -329,7 +329,7 @@
         CPPUNIT_ASSERT(directory.takeChange(m_now)->empty());
     }
 
-    void endpointThatStartsAnewIsJudgedAnew()
+    void restartedEndpointIsReset()
     {
         EndpointBoard board;
         Effects effects;
@@ -339,18 +339,18 @@
         board.told(record.instance, {5, 5, 4}, m_now);
         board.find(record.instance)->resultBytes = 100;
         board.find(record.instance)->slowness = 4.0;
-        EndpointRecord anew = record;
-        anew.incarnation = 2;
-        board.update({anew}, m_now, effects);
+        EndpointRecord restarted = record;
+        restarted.incarnation = 2;
+        board.update({restarted}, m_now, effects);
         const Endpoint &endpoint = *board.find(record.instance);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, endpoint.takenBytes());
         CPPUNIT_ASSERT_EQUAL(1.0, endpoint.slowness);
         CPPUNIT_ASSERT_EQUAL(0U, endpoint.load.running);
-        // The run is in progress until its connection breaks.
+        // The run stays in progress until its connection is closed.
         CPPUNIT_ASSERT_EQUAL(1U, endpoint.inFlight);
     }
 
-    void splitterKeepsUnfinishedEventsBack()
+    void splitterBuffersIncompleteEvents()
     {
         EventSplitter splitter;
         CPPUNIT_ASSERT_EQUAL(std::string{}, splitter.take("id: 1\ndata"));
@@ -360,7 +360,7 @@
         CPPUNIT_ASSERT(splitter.last() == std::optional<std::uint64_t>{1});
     }
 
-    void splitterDropsWhatWasPassedOnAndSeesGaps()
+    void splitterDropsForwardedEventsAndDetectsGaps()
     {
         EventSplitter splitter{3};
         CPPUNIT_ASSERT_EQUAL(std::string{"id: 4\ndata: d\n\n"}, splitter.take("id: 3\ndata: c\n\nid: 4\ndata: d\n\n"));
@@ -368,7 +368,7 @@
         CPPUNIT_ASSERT(splitter.isBroken());
     }
 
-    void strongestProcessesAreRelaysAndOwnTheQueues()
+    void strongestProcessesAreRelaysAndOwnQueues()
     {
         Peers weak{{InstanceName{"weak"}, "weak:1", 0.05}, {}};
         weak.setOwnsQueues(true);
@@ -382,15 +382,15 @@
         }
     }
 
-    void heartbeatsOfAProcessDoNotGrowWithTheFleet()
+    void heartbeatRatePerProcessIsBounded()
     {
         Fleet fleet{120, m_now};
         fleet.run(std::chrono::seconds{4});
-        const std::size_t before = fleet.sent();
+        const std::size_t before = fleet.heartbeatsSent();
         fleet.run(std::chrono::seconds{1});
-        // Each process asks two relays five times a second, each relay the fifteen others; trials add a few.
-        const std::size_t most = 120 * 2 * 5 + 16 * 15 * 5;
-        CPPUNIT_ASSERT(fleet.sent() - before <= most * 12 / 10);
+        // Each process contacts two relays five times a second, each relay the fifteen others; probes add a few.
+        const std::size_t maxHeartbeats = 120 * 2 * 5 + 16 * 15 * 5;
+        CPPUNIT_ASSERT(fleet.heartbeatsSent() - before <= maxHeartbeats * 12 / 10);
     }
 
     void fleetOfAnySizeAgreesOnOwners()
@@ -400,25 +400,25 @@
             fleet.run(std::chrono::seconds{4});
             CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.ownersOf(PoolName{"p1"}).size());
             CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.ownersOf(PoolName{"p2"}).size());
-            CPPUNIT_ASSERT_EQUAL(size - 1, fleet.fewestLive());
+            CPPUNIT_ASSERT_EQUAL(size - 1, fleet.minLiveCount());
         }
     }
 
-    void processThatIsLostIsGoneEverywhereSoon()
+    void failedOwnerIsReplacedEverywhere()
     {
         Fleet fleet{31, m_now};
         fleet.run(std::chrono::seconds{4});
         const InstanceName owner = *fleet.ownersOf(PoolName{"p1"}).begin();
         fleet.stop(owner);
-        // The silence of 0.9 s, then one heartbeat between relays and one to every other process.
+        // The peer timeout of 0.9 s, then one heartbeat between relays and one to every other process.
         fleet.run(std::chrono::milliseconds{1600});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.ownersOf(PoolName{"p1"}).size());
         CPPUNIT_ASSERT(*fleet.ownersOf(PoolName{"p1"}).begin() != owner);
     }
 
-    void generationsToldDoNotGrowWithTheFleet()
+    void forwardedEngineReportsAreBounded()
     {
-        std::map<int, std::size_t> told;
+        std::map<int, std::size_t> reportCount;
         for (const int size : {16, 32, 350}) {
             Peers relay{{InstanceName{"relay"}, "relay:1"}, {}};
             for (int number = 0; number < size; ++number) {
@@ -429,14 +429,14 @@
             }
             Heartbeat out;
             relay.complete(out, "entry-0:1", m_now);
-            told[size] = out.engines.size();
+            reportCount[size] = out.engines.size();
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{15}, told[16]);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{31}, told[32]);
-        CPPUNIT_ASSERT(told[350] <= 4);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{15}, reportCount[16]);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{31}, reportCount[32]);
+        CPPUNIT_ASSERT(reportCount[350] <= 4);
     }
 
-    void fleetAgreesOnOwnersAfterARollingRestart()
+    void fleetAgreesOnOwnersAfterRollingRestart()
     {
         Fleet fleet{24, m_now};
         fleet.run(std::chrono::seconds{3});
@@ -444,13 +444,13 @@
             fleet.restart(InstanceName{name}, std::chrono::seconds{2}, std::chrono::milliseconds{200});
         }
         fleet.run(std::chrono::seconds{2});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{23}, fleet.fewestLive());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{23}, fleet.minLiveCount());
         for (const char *pool : {"p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8"}) {
             CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.ownersOf(PoolName{pool}).size());
         }
     }
 
-    void unreachedOwnerIsTriedAgain()
+    void unreachableOwnerIsRetried()
     {
         Peers peers{{InstanceName{"weak"}, "weak:1", 0.1}, {}};
         Heartbeat relay = heartbeat("relay");
@@ -458,7 +458,7 @@
         relay.roster = {{{InstanceName{"owner"}, "owner:1"}, true}};
         peers.heard(relay, m_now);
         CPPUNIT_ASSERT(peers.isLive(InstanceName{"owner"}, m_now));
-        peers.unreached(InstanceName{"owner"}, m_now);
+        peers.markUnreachable(InstanceName{"owner"}, m_now);
         CPPUNIT_ASSERT(!peers.isLive(InstanceName{"owner"}, m_now));
         m_now += std::chrono::seconds{1};
         peers.heard(relay, m_now);
@@ -491,7 +491,7 @@
         return {InstanceName{name}, PoolName{"pool"}, "10.0.0.1:1", ZoneName{"a"}, 1, draining};
     }
 
-    /*! @brief Returns a name that rendezvous hashing prefers to that of the fixture's process. */
+    /*! @brief Returns a process name that rendezvous hashing ranks above the fixture's process. */
     [[nodiscard]] InstanceName findOwner() const
     {
         for (int number = 2;; ++number) {
