--- a/bench/fairqueue.cpp
+++ b/bench/fairqueue.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /*! @brief Runs queued for each workspace. */
-constexpr std::uint64_t depth = 2;
+constexpr std::uint64_t runsPerWorkspace = 2;
 
 QueueItem item(std::uint64_t number, const WorkspaceName &workspace)
 {
@@ -25,16 +25,16 @@
             static_cast<double>(1 + number % 3)};
 }
 
-/*! @brief A queue with runs of every workspace, as under saturation. */
-struct Filled
+/*! @brief Queue with runs of all workspaces. */
+struct FilledQueue
 {
-    explicit Filled(std::uint64_t workspaces)
-        : queue{2 * depth * workspaces, 8}
+    explicit FilledQueue(std::uint64_t workspaces)
+        : queue{2 * runsPerWorkspace * workspaces, 8}
     {
         for (std::uint64_t index = 0; index < workspaces; ++index) {
             names.emplace_back("workspace-" + std::to_string(index));
         }
-        for (; number < depth * workspaces; ++number) {
+        for (; number < runsPerWorkspace * workspaces; ++number) {
             (void)queue.push(item(number, names[number % workspaces]));
         }
     }
@@ -44,27 +44,27 @@
     std::uint64_t number{};
 };
 
-/*! @brief One run leaves and one of another workspace comes; the reported time is that of both. */
+/*! @brief Time of one `pop` and one `push` for another workspace. */
 void popAndPush(benchmark::State &state)
 {
     const auto workspaces = static_cast<std::uint64_t>(state.range(0));
-    Filled filled{workspaces};
+    FilledQueue filledQueue{workspaces};
     for (auto _ : state) {
-        benchmark::DoNotOptimize(filled.queue.pop(TimePoint{}));
-        const std::uint64_t number = filled.number++;
-        benchmark::DoNotOptimize(filled.queue.push(item(number, filled.names[number * 31 % workspaces])));
+        benchmark::DoNotOptimize(filledQueue.queue.pop(TimePoint{}));
+        const std::uint64_t number = filledQueue.number++;
+        benchmark::DoNotOptimize(filledQueue.queue.push(item(number, filledQueue.names[number * 31 % workspaces])));
     }
 }
 
-/*! @brief A run is offered to a full queue, and a victim leaves. */
+/*! @brief Time of a `push` to a full queue, which evicts a run. */
 void pushWhenFull(benchmark::State &state)
 {
     const auto workspaces = static_cast<std::uint64_t>(state.range(0));
-    Filled filled{workspaces};
-    filled.queue.setLimit(depth * workspaces);
+    FilledQueue filledQueue{workspaces};
+    filledQueue.queue.setLimit(runsPerWorkspace * workspaces);
     for (auto _ : state) {
-        const std::uint64_t number = filled.number++;
-        benchmark::DoNotOptimize(filled.queue.push(item(number, filled.names[number * 31 % workspaces])));
+        const std::uint64_t number = filledQueue.number++;
+        benchmark::DoNotOptimize(filledQueue.queue.push(item(number, filledQueue.names[number * 31 % workspaces])));
     }
 }
 
--- a/src/bergamottide/engines/firsteventmodel.h
+++ b/src/bergamottide/engines/firsteventmodel.h
@@ -1,35 +1,35 @@
 #pragma once
 
 #include "bergamottide/core/time.h"
-#include "bergamottide/scheduling/robustline.h"
+#include "bergamottide/scheduling/robustregression.h"
 
 #include <cstdint>
 
 namespace bergamottide::engines {
 
 /**
- * @brief Learns how long the engines of one pool take to the first event of a generation, from the tokens that are to
- * be read before it.
+ * @brief Learns the time to the first event of a generation at the engines of a pool, as a linear function of the
+ * tokens to prefill.
  */
 class FirstEventModel
 {
 public:
     /**
-     * @brief Learns from a first event.
-     * @param tokens Tokens that were to be read when the generation was sent: its own and those before it.
-     * @param time Time from the sending to the event.
-     * @param slowness How much slower than the others the engine is taken to be.
+     * @brief Adds the sample of a first event.
+     * @param tokens Tokens to prefill when the generation was sent, including those of earlier generations.
+     * @param time Time from sending the generation to the event.
+     * @param slowness Slowness of the engine relative to its pool.
      */
     void learn(double tokens, Duration time, double slowness);
 
-    /*! @brief Returns the expected time of an engine of common speed that has so many tokens to read. */
+    /*! @brief Returns the expected time to the first event at an engine of average speed. */
     [[nodiscard]] Duration expected(double tokens) const;
 
-    /*! @brief Returns the speed at which an engine reads, in tokens a second. */
+    /*! @brief Returns the prefill rate of an engine. */
     [[nodiscard]] double tokensPerSecond() const;
 
 private:
-    RobustLine m_line;
+    RobustRegression m_regression;
 };
 
 } // namespace bergamottide::engines
--- a/src/bergamottide/scheduling/concurrencylimit.cpp
+++ b/src/bergamottide/scheduling/concurrencylimit.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/*! @brief What is left of the limit after a sign of overload: small steps, since signs come with every run. */
-constexpr double decrease = 0.9;
-/*! @brief Stretch that is never a sign of thrashing: ordinary variation doubles a time now and then. */
-constexpr double ordinaryStretch = 2.0;
-/*! @brief Share of the maximum that slowness alone leaves; a slow endpoint given less would only finish less. */
-constexpr double slowFloor = 0.5;
+/*! @brief Multiplicative decrease; close to one because overload signals arrive with every run. */
+constexpr double decreaseFactor = 0.9;
+/*! @brief Slowdown that is still within the normal variation of service times. */
+constexpr double maxNormalSlowdown = 2.0;
+/*! @brief Share of the maximum below which slow runs alone don't lower the limit. */
+constexpr double slownessFloorShare = 0.5;
 
 } // namespace
 
@@ -33,33 +33,33 @@
     return static_cast<std::uint32_t>(m_limit);
 }
 
-void ConcurrencyLimit::completed(double stretch, std::uint32_t together)
+void ConcurrencyLimit::completed(double slowdown, std::uint32_t concurrent)
 {
-    m_sinceShrink += 1.0;
-    const double serial = std::max(static_cast<double>(together), ordinaryStretch);
-    if (stretch > serial) {
-        shrink(std::max(m_maximum * slowFloor, 1.0));
+    m_runsSinceDecrease += 1.0;
+    const double serialSlowdown = std::max(static_cast<double>(concurrent), maxNormalSlowdown);
+    if (slowdown > serialSlowdown) {
+        decrease(std::max(m_maximum * slownessFloorShare, 1.0));
         return;
     }
-    if (together >= current()) {
+    if (concurrent >= current()) {
         m_limit = std::min(m_limit + 1.0 / m_limit, m_maximum);
     }
 }
 
 void ConcurrencyLimit::overloaded()
 {
-    m_sinceShrink += 1.0;
-    shrink(1.0);
+    m_runsSinceDecrease += 1.0;
+    decrease(1.0);
 }
 
-void ConcurrencyLimit::shrink(double floor)
+void ConcurrencyLimit::decrease(double floor)
 {
-    // One step for each round of runs: all of a round suffer from the same cause.
-    if (m_limit <= floor || m_sinceShrink < m_limit) {
+    // At most one decrease per `m_limit` runs: runs that overlap report the same overload.
+    if (m_limit <= floor || m_runsSinceDecrease < m_limit) {
         return;
     }
-    m_limit = std::max(m_limit * decrease, floor);
-    m_sinceShrink = 0.0;
+    m_limit = std::max(m_limit * decreaseFactor, floor);
+    m_runsSinceDecrease = 0.0;
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/scheduling/concurrencylimit.h
+++ b/src/bergamottide/scheduling/concurrencylimit.h
@@ -7,52 +7,49 @@
 namespace bergamottide {
 
 /**
- * @brief Number of runs that an endpoint is given at once, adapted to how it copes.
+ * @brief Adaptive limit on the number of concurrent runs at one endpoint (AIMD).
  *
- * It starts at the pool's concurrency, which it never exceeds, since engines batch what
- * they are given together: sending less wastes them. It shrinks (additive increase,
- * multiplicative decrease) on two signs. An endpoint that refuses a run, or fails one for
- * overload, says itself that it has too many. And a run that takes longer than the runs
- * started together would take one after the other shows that the endpoint thrashes; since
- * an endpoint that is slow for any other reason looks the same, this sign alone never
- * takes more than half of the pool's concurrency. Harm prevented: time wasted at an
- * endpoint beyond its capacity while the queue, which is fair and knows deadlines, is
- * bypassed.
+ * Starts at the concurrency of the pool, which it never exceeds. The limit decreases when
+ * the endpoint rejects a run or fails it for overload, down to one. It also decreases when
+ * a run takes longer than its concurrent runs would take one after the other, which
+ * indicates thrashing; an endpoint that is slow for other reasons looks the same, so this
+ * signal never lowers the limit below half of the maximum. Runs above the limit stay in
+ * the fair queue, which orders them by deadline.
  */
 class ConcurrencyLimit
 {
 public:
     /**
-     * @brief Starts at the maximum.
+     * @brief Creates a limit that equals the maximum.
      * @param maximum Concurrency of the pool; above zero.
      */
     explicit ConcurrencyLimit(std::uint32_t maximum);
 
     /**
-     * @brief Changes the maximum; a limit that stood at the old one moves with it.
+     * @brief Changes the maximum; a limit equal to the old maximum follows it.
      * @param maximum Concurrency of the pool; above zero.
      */
     void setMaximum(std::uint32_t maximum);
 
-    /*! @brief Returns the number of runs that the endpoint may have at once; at least one. */
+    /*! @brief Returns the number of runs that the endpoint may work on concurrently; at least one. */
     [[nodiscard]] std::uint32_t current() const noexcept;
 
     /**
-     * @brief Learns that a run has completed.
-     * @param stretch Its service time relative to what it would take alone.
-     * @param together Runs at the endpoint when it started, itself included.
+     * @brief Records a completed run.
+     * @param slowdown Service time divided by the service time without concurrent runs.
+     * @param concurrent Runs at the endpoint when the run started, itself included.
      */
-    void completed(double stretch, std::uint32_t together);
+    void completed(double slowdown, std::uint32_t concurrent);
 
-    /*! @brief Learns that the endpoint refused a run or failed it for overload. */
+    /*! @brief Records a run that the endpoint rejected, or failed for overload. */
     void overloaded();
 
 private:
-    void shrink(double floor);
+    void decrease(double floor);
 
     double m_maximum;
     double m_limit;
-    double m_sinceShrink{};
+    double m_runsSinceDecrease{};
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/scheduling/fairqueue.cpp
+++ b/src/bergamottide/scheduling/fairqueue.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/*! @brief Units of weight in a weight of one; whole numbers keep sums exact over any number of changes. */
-constexpr double weightUnits = 1000.0;
+/*! @brief Weights are stored as integer multiples of 1/1000, so that the sum of active weights stays exact. */
+constexpr double weightScale = 1000.0;
 
-/*! @brief Cost below which runs count alike: a free run must not have boundless worth, nor escape its share. */
-constexpr Duration leastCost{1};
-/*! @brief Worth below which runs count alike; it keeps the logarithm finite for a value of zero. */
-constexpr double leastWorthValue = 1e-18;
+/*! @brief Lower bound of the cost of a run; keeps the value density finite and charges every run to its workspace. */
+constexpr Duration minCost{1};
+/*! @brief Lower bound of the value density; keeps the logarithm finite for a value of zero. */
+constexpr double minValueDensity = 1e-18;
 
-/*! @brief Returns the value for the cost, in steps of the root of two. */
-int worthOf(const QueueItem &item)
+/*! @brief Returns the value density (value per microsecond) on a logarithmic scale, in steps of a factor of sqrt(2). */
+int densityLevelOf(const QueueItem &item)
 {
-    const double worth = item.value / static_cast<double>(std::max(item.cost, leastCost).count());
-    return static_cast<int>(std::floor(2.0 * std::log2(std::max(worth, leastWorthValue))));
+    const double density = item.value / static_cast<double>(std::max(item.cost, minCost).count());
+    return static_cast<int>(std::floor(2.0 * std::log2(std::max(density, minValueDensity))));
 }
 
 } // namespace
@@ -30,14 +30,14 @@
     return std::tie(due, other.value, sequence) < std::tie(other.due, value, other.sequence);
 }
 
-bool FairQueue::WorthKey::operator<(const WorthKey &other) const
+bool FairQueue::DensityKey::operator<(const DensityKey &other) const
 {
-    return std::tie(other.worth, due, sequence) < std::tie(worth, other.due, other.sequence);
+    return std::tie(other.densityLevel, due, sequence) < std::tie(densityLevel, other.due, other.sequence);
 }
 
-FairQueue::FairQueue(std::size_t limit, std::size_t parallel)
+FairQueue::FairQueue(std::size_t limit, std::size_t concurrency)
     : m_limit{std::max<std::size_t>(limit, 1)}
-    , m_parallel{std::max<std::size_t>(parallel, 1)}
+    , m_concurrency{std::max<std::size_t>(concurrency, 1)}
 {
 }
 
@@ -46,33 +46,33 @@
     m_limit = std::max<std::size_t>(limit, 1);
 }
 
-void FairQueue::setParallel(std::size_t parallel)
+void FairQueue::setParallel(std::size_t concurrency)
 {
-    m_parallel = std::max<std::size_t>(parallel, 1);
+    m_concurrency = std::max<std::size_t>(concurrency, 1);
 }
 
 void FairQueue::setWeight(const WorkspaceName &workspace, double weight)
 {
-    const std::size_t index = shareOf(workspace);
-    Share &share = m_shares[index];
-    const auto units = std::max<std::int64_t>(std::llround(weight * weightUnits), 1);
-    if (!share.byDeadline.empty()) {
-        m_activeWeight += units - share.weight;
+    const std::size_t index = flowIndexOf(workspace);
+    Flow &flow = m_flows[index];
+    const auto units = std::max<std::int64_t>(std::llround(weight * weightScale), 1);
+    if (!flow.byDeadline.empty()) {
+        m_activeWeight += units - flow.weight;
     }
-    share.weight = units;
-    rank(index);
+    flow.weight = units;
+    updateHeaps(index);
 }
 
 QueueOutcome FairQueue::push(QueueItem item)
 {
-    item.cost = std::max(item.cost, leastCost);
-    const std::size_t share = shareOf(item.workspace);
+    item.cost = std::max(item.cost, minCost);
+    const std::size_t flow = flowIndexOf(item.workspace);
     const RunId offered = item.run;
-    insert(std::move(item), share);
+    insert(std::move(item), flow);
     if (size() <= m_limit) {
         return {true, std::nullopt};
     }
-    QueueItem victim = remove(leastWorth());
+    QueueItem victim = remove(leastDenseSlot());
     if (victim.run == offered) {
         return {false, std::nullopt};
     }
@@ -81,22 +81,22 @@
 
 std::optional<QueueItem> FairQueue::pop(TimePoint now)
 {
-    if (m_starts.empty()) {
+    if (m_startTags.empty()) {
         return std::nullopt;
     }
-    const std::size_t index = m_starts.top();
-    Share &share = m_shares[index];
-    m_virtualTime = std::max(m_virtualTime, share.nextStart);
-    const std::size_t slot = choose(share, now);
+    const std::size_t index = m_startTags.top();
+    Flow &flow = m_flows[index];
+    m_virtualTime = std::max(m_virtualTime, flow.startTag);
+    const std::size_t slot = selectSlot(flow, now);
     const auto cost = static_cast<double>(m_slots[slot].item.cost.count());
-    share.nextStart += cost / static_cast<double>(share.weight);
+    flow.startTag += cost / static_cast<double>(flow.weight);
     return remove(slot);
 }
 
 bool FairQueue::erase(const RunId &run)
 {
-    const auto found = m_slotOf.find(run);
-    if (found == m_slotOf.end()) {
+    const auto found = m_slotsByRun.find(run);
+    if (found == m_slotsByRun.end()) {
         return false;
     }
     remove(found->second);
@@ -105,11 +105,11 @@
 
 std::vector<QueueItem> FairQueue::takeDoomed(TimePoint now)
 {
-    std::vector<QueueItem> doomed;
+    std::vector<QueueItem> infeasible;
     while (!m_latestStarts.empty() && m_latestStarts.topKey().first < now) {
-        doomed.push_back(remove(m_latestStarts.top()));
+        infeasible.push_back(remove(m_latestStarts.top()));
     }
-    return doomed;
+    return infeasible;
 }
 
 std::optional<TimePoint> FairQueue::nextDoomed() const
@@ -122,7 +122,7 @@
 
 std::size_t FairQueue::size() const noexcept
 {
-    return m_slotOf.size();
+    return m_slotsByRun.size();
 }
 
 Duration FairQueue::backlog() const noexcept
@@ -132,59 +132,59 @@
 
 Duration FairQueue::wait(const WorkspaceName &workspace) const
 {
-    const auto found = m_shareOf.find(workspace.text());
-    return found == m_shareOf.end() ? Duration{} : wait(m_shares[found->second]);
+    const auto found = m_flowIndexes.find(workspace.text());
+    return found == m_flowIndexes.end() ? Duration{} : wait(m_flows[found->second]);
 }
 
 std::vector<std::pair<WorkspaceName, Duration>> FairQueue::waits() const
 {
-    std::vector<std::pair<WorkspaceName, Duration>> all;
-    all.reserve(m_starts.size());
-    for (const Share &share : m_shares) {
-        if (share.byDeadline.empty()) {
+    std::vector<std::pair<WorkspaceName, Duration>> result;
+    result.reserve(m_startTags.size());
+    for (const Flow &flow : m_flows) {
+        if (flow.byDeadline.empty()) {
             continue;
         }
-        all.emplace_back(share.name, wait(share));
+        result.emplace_back(flow.name, wait(flow));
     }
-    return all;
+    return result;
 }
 
-std::size_t FairQueue::active() const noexcept
+std::size_t FairQueue::activeWorkspaces() const noexcept
 {
-    return m_starts.size();
+    return m_startTags.size();
 }
 
 std::uint64_t FairQueue::steps() const noexcept
 {
-    return m_starts.steps() + m_largest.steps();
+    return m_startTags.steps() + m_largestBacklogs.steps();
 }
 
-std::size_t FairQueue::shareOf(const WorkspaceName &workspace)
+std::size_t FairQueue::flowIndexOf(const WorkspaceName &workspace)
 {
-    const auto [found, added] = m_shareOf.try_emplace(workspace.text(), m_shares.size());
+    const auto [found, added] = m_flowIndexes.try_emplace(workspace.text(), m_flows.size());
     if (added) {
-        m_shares.push_back(Share{workspace, static_cast<std::int64_t>(weightUnits)});
+        m_flows.push_back(Flow{workspace, static_cast<std::int64_t>(weightScale)});
     }
     return found->second;
 }
 
 void FairQueue::insert(QueueItem item, std::size_t index)
 {
-    Share &share = m_shares[index];
+    Flow &flow = m_flows[index];
     const std::size_t slot = freeSlot();
     const std::uint64_t sequence = m_nextSequence++;
-    if (share.byDeadline.empty()) {
-        share.nextStart = std::max(share.nextStart, m_virtualTime);
-        m_activeWeight += share.weight;
+    if (flow.byDeadline.empty()) {
+        flow.startTag = std::max(flow.startTag, m_virtualTime);
+        m_activeWeight += flow.weight;
     }
-    share.byDeadline.insert({item.due(), item.value, sequence, slot});
-    share.byWorth.insert({worthOf(item), item.due(), sequence, slot});
-    share.backlog += item.cost;
+    flow.byDeadline.insert({item.due(), item.value, sequence, slot});
+    flow.byDensity.insert({densityLevelOf(item), item.due(), sequence, slot});
+    flow.backlog += item.cost;
     m_backlog += item.cost;
     m_latestStarts.set(slot, {item.latestStart(), sequence});
-    m_slotOf.emplace(item.run, slot);
+    m_slotsByRun.emplace(item.run, slot);
     m_slots[slot] = Slot{std::move(item), index, sequence};
-    rank(index);
+    updateHeaps(index);
 }
 
 std::size_t FairQueue::freeSlot()
@@ -200,60 +200,60 @@
 
 QueueItem FairQueue::remove(std::size_t slot)
 {
-    const std::size_t index = m_slots[slot].share;
+    const std::size_t index = m_slots[slot].flow;
     const std::uint64_t sequence = m_slots[slot].sequence;
     QueueItem item = std::move(m_slots[slot].item);
     m_freeSlots.push_back(slot);
-    m_slotOf.erase(item.run);
+    m_slotsByRun.erase(item.run);
     m_latestStarts.erase(slot);
-    Share &share = m_shares[index];
-    share.byDeadline.erase({item.due(), item.value, sequence, slot});
-    share.byWorth.erase({worthOf(item), item.due(), sequence, slot});
-    share.backlog -= item.cost;
+    Flow &flow = m_flows[index];
+    flow.byDeadline.erase({item.due(), item.value, sequence, slot});
+    flow.byDensity.erase({densityLevelOf(item), item.due(), sequence, slot});
+    flow.backlog -= item.cost;
     m_backlog -= item.cost;
-    if (share.byDeadline.empty()) {
-        m_activeWeight -= share.weight;
+    if (flow.byDeadline.empty()) {
+        m_activeWeight -= flow.weight;
     }
-    rank(index);
+    updateHeaps(index);
     return item;
 }
 
-void FairQueue::rank(std::size_t index)
+void FairQueue::updateHeaps(std::size_t index)
 {
-    const Share &share = m_shares[index];
-    if (share.byDeadline.empty()) {
-        m_starts.erase(index);
-        m_largest.erase(index);
+    const Flow &flow = m_flows[index];
+    if (flow.byDeadline.empty()) {
+        m_startTags.erase(index);
+        m_largestBacklogs.erase(index);
         return;
     }
-    m_starts.set(index, {share.nextStart, index});
-    const double over = static_cast<double>(share.backlog.count()) / static_cast<double>(share.weight);
-    m_largest.set(index, {-over, index});
+    m_startTags.set(index, {flow.startTag, index});
+    const double normalizedBacklog = static_cast<double>(flow.backlog.count()) / static_cast<double>(flow.weight);
+    m_largestBacklogs.set(index, {-normalizedBacklog, index});
 }
 
-std::size_t FairQueue::leastWorth() const
+std::size_t FairQueue::leastDenseSlot() const
 {
-    return m_shares[m_largest.top()].byWorth.rbegin()->slot;
+    return m_flows[m_largestBacklogs.top()].byDensity.rbegin()->slot;
 }
 
-std::size_t FairQueue::choose(const Share &share, TimePoint now) const
+std::size_t FairQueue::selectSlot(const Flow &flow, TimePoint now) const
 {
-    return saturated(share, now) ? share.byWorth.begin()->slot : share.byDeadline.begin()->slot;
+    return missesDeadlines(flow, now) ? flow.byDensity.begin()->slot : flow.byDeadline.begin()->slot;
 }
 
-bool FairQueue::saturated(const Share &share, TimePoint now) const
+bool FairQueue::missesDeadlines(const Flow &flow, TimePoint now) const
 {
-    const QueueItem &last = m_slots[share.byDeadline.rbegin()->slot].item;
-    return now + wait(share) > last.due();
+    const QueueItem &last = m_slots[flow.byDeadline.rbegin()->slot].item;
+    return now + wait(flow) > last.due();
 }
 
-Duration FairQueue::wait(const Share &share) const
+Duration FairQueue::wait(const Flow &flow) const
 {
-    // Work conserving: a workspace waits for its own backlog at its share, but never for more than all there is.
-    const auto atShare = static_cast<double>(share.backlog.count()) * static_cast<double>(m_activeWeight)
-        / static_cast<double>(share.weight);
-    const auto all = static_cast<double>(m_backlog.count());
-    return Duration{static_cast<Duration::rep>(std::min(atShare, all) / static_cast<double>(m_parallel))};
+    // The queue is work conserving, so the total backlog bounds the wait of every workspace.
+    const auto atFairShare = static_cast<double>(flow.backlog.count()) * static_cast<double>(m_activeWeight)
+        / static_cast<double>(flow.weight);
+    const auto total = static_cast<double>(m_backlog.count());
+    return Duration{static_cast<Duration::rep>(std::min(atFairShare, total) / static_cast<double>(m_concurrency))};
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/scheduling/fairqueue.h
+++ b/src/bergamottide/scheduling/fairqueue.h
@@ -16,27 +16,27 @@
 
 namespace bergamottide {
 
-/*! @brief A run that waits for its endpoint, as the queue sees it. */
+/*! @brief A run that is queued for an endpoint. */
 struct QueueItem
 {
     RunId run;
     WorkspaceName workspace;
     /*! @brief Estimated service time of the run. */
     Duration cost{};
-    /*! @brief Estimated service time of all the stages after it. */
+    /*! @brief Estimated service time of all later stages of the request. */
     Duration following{};
-    /*! @brief Deadline of the whole request. */
+    /*! @brief Deadline of the request. */
     TimePoint deadline;
-    /*! @brief Worth of the request completed on time. */
+    /*! @brief Value of completing the request on time. */
     double value{1.0};
 
-    /*! @brief Returns the deadline of this stage: what is left after it is just enough for the following ones. */
+    /*! @brief Returns the deadline of this stage, which leaves just enough time for the later stages. */
     [[nodiscard]] TimePoint due() const
     {
         return deadline - following;
     }
 
-    /*! @brief Returns the time after which a start cannot end within the deadline. */
+    /*! @brief Returns the latest start with which the run still meets its deadline. */
     [[nodiscard]] TimePoint latestStart() const
     {
         return due() - cost;
@@ -45,103 +45,92 @@
     [[nodiscard]] bool operator==(const QueueItem &) const = default;
 };
 
-/*! @brief What became of a run offered to a full or open queue. */
+/*! @brief Result of `FairQueue::push`. */
 struct QueueOutcome
 {
-    /*! @brief The offered run is in the queue. */
+    /*! @brief The pushed run is in the queue. */
     bool accepted{};
-    /*! @brief Run that had to leave in favour of the offered one. */
+    /*! @brief Run that was evicted to make room for the pushed one. */
     std::optional<QueueItem> victim;
 };
 
 /**
- * @brief Start-time fair queue over workspaces, by estimated cost.
+ * @brief Start-time fair queue of runs, with one flow per workspace.
  *
- * Load it is made for: partners that send a week's work at once to an endpoint that other
- * workspaces use too. Harm prevented: a burst that starves the others. Each workspace that
- * waits has a start tag; the smallest goes first and then moves on by cost over weight, so
- * that under saturation the time of the endpoint is shared by weight whatever is sent. A
- * workspace that comes back from idling starts at the present virtual time: it has gained
- * no credit that it could spend in a burst.
+ * The flow with the smallest start tag is served next; its tag then advances by cost over
+ * weight, so that under saturation endpoint time is divided by weight. A flow that becomes
+ * active again starts at the current virtual time and thus accumulates no credit while
+ * idle.
  *
- * Within a workspace the earliest deadline of this stage goes first, then the higher value;
- * that deadline leaves room for the following stages, so that a flood of requests that end
- * here does not use up the time of those that have long work before them. When the backlog
- * of a workspace no longer fits before its last deadline, some of it will be late whatever
- * the order; then the highest value for its cost goes first, so that what is lost is worth
- * least. Worth counts in steps of the root of two: smaller differences are within the error
- * of the estimates, and the deadline decides. Value never moves time from one workspace to
- * another: weights alone do.
+ * Within a flow the run with the earliest stage deadline is served first, then the one
+ * with the higher value. If the flow's backlog can't be finished before its last deadline,
+ * the run with the highest value density (value per cost) is served first instead, so that
+ * the runs that miss their deadline are those of least value. Densities are compared in
+ * steps of a factor of sqrt(2), since smaller differences are within the error of the
+ * estimates. Values don't affect how time is divided between workspaces.
  *
- * Work in the queue is bounded. The victim rule: of the workspace furthest over its share
- * (largest backlog over weight, the offered run included) the run of least value for its
- * cost leaves; the offered run itself may be it.
+ * The queue is bounded. On overflow the run with the lowest value density of the flow with
+ * the largest backlog over weight is evicted; this may be the run that was just pushed.
  *
- * Every operation is logarithmic in workspaces and in the runs of one workspace.
+ * Every operation is logarithmic in the number of workspaces and in the runs of one
+ * workspace.
  */
 class FairQueue
 {
 public:
     /**
      * @brief Creates an empty queue.
-     * @param limit Runs held at most; above zero.
-     * @param parallel Runs that the endpoint works on at once; above zero.
+     * @param limit Maximum number of queued runs; above zero.
+     * @param concurrency Runs that the endpoint works on concurrently; above zero.
      */
-    FairQueue(std::size_t limit, std::size_t parallel);
+    FairQueue(std::size_t limit, std::size_t concurrency);
 
-    /*! @brief Sets the number of runs held at most; runs held beyond it stay until they leave by themselves. */
+    /*! @brief Sets the maximum number of queued runs; doesn't evict runs that already exceed it. */
     void setLimit(std::size_t limit);
-    /*! @brief Sets the number of runs that the endpoint works on at once. */
-    void setParallel(std::size_t parallel);
+    /*! @brief Sets the number of runs that the endpoint works on concurrently. */
+    void setParallel(std::size_t concurrency);
     /**
-     * @brief Sets the share of a workspace.
-     * @param workspace Workspace.
-     * @param weight Its weight relative to others; resolved to a thousandth, at least that.
+     * @brief Sets the weight of a workspace.
+     * @param weight Weight relative to other workspaces; rounded to a multiple of 0.001, at least 0.001.
      */
     void setWeight(const WorkspaceName &workspace, double weight);
 
     /**
-     * @brief Offers a run.
-     * @param item Run; its identity is not in the queue yet.
-     * @return Whether it was taken, and which run had to leave for it.
+     * @brief Adds a run, and evicts one if the queue is full.
+     * @param item Run that is not in the queue yet.
      */
     [[nodiscard]] QueueOutcome push(QueueItem item);
     /**
-     * @brief Takes the run that goes next.
-     * @param now Present time.
-     * @return The run, or nothing if the queue is empty.
+     * @brief Removes and returns the run to be served next, or nothing if the queue is empty.
+     * @param now Current time.
      */
     [[nodiscard]] std::optional<QueueItem> pop(TimePoint now);
     /**
      * @brief Removes a run.
-     * @param run Run to remove.
-     * @return True if it was in the queue.
+     * @return Whether it was in the queue.
      */
     bool erase(const RunId &run);
     /**
-     * @brief Removes the runs that cannot end within their deadline any more, in the order of their latest starts.
-     * @param now Present time.
-     * @return The runs removed; none of them has cost anything.
+     * @brief Removes and returns the runs that can no longer meet their deadline, ordered by latest start.
+     * @param now Current time.
      */
     [[nodiscard]] std::vector<QueueItem> takeDoomed(TimePoint now);
 
-    /*! @brief Returns the earliest latest start of all runs. */
+    /*! @brief Returns the smallest latest start of all queued runs. */
     [[nodiscard]] std::optional<TimePoint> nextDoomed() const;
-    /*! @brief Returns the number of runs. */
+    /*! @brief Returns the number of queued runs. */
     [[nodiscard]] std::size_t size() const noexcept;
-    /*! @brief Returns the estimated cost of all runs. */
+    /*! @brief Returns the estimated cost of all queued runs. */
     [[nodiscard]] Duration backlog() const noexcept;
     /**
-     * @brief Estimates how long a workspace's present backlog waits, at its share or better.
-     * @param workspace Workspace.
-     * @return Estimated wait; zero if it has nothing queued.
+     * @brief Estimates the time until the queued runs of a workspace have been served; zero if it has none.
      */
     [[nodiscard]] Duration wait(const WorkspaceName &workspace) const;
-    /*! @brief Returns the workspaces that have runs queued, with the estimated wait of each. */
+    /*! @brief Returns the workspaces that have queued runs, with the estimated wait of each. */
     [[nodiscard]] std::vector<std::pair<WorkspaceName, Duration>> waits() const;
-    /*! @brief Returns the number of workspaces that have runs queued. */
-    [[nodiscard]] std::size_t active() const noexcept;
-    /*! @brief Returns the number of steps through the orders of workspaces so far; tests bound the cost by it. */
+    /*! @brief Returns the number of workspaces that have queued runs. */
+    [[nodiscard]] std::size_t activeWorkspaces() const noexcept;
+    /*! @brief Returns the number of swaps in the heaps of workspaces so far; lets tests check the complexity. */
     [[nodiscard]] std::uint64_t steps() const noexcept;
 
 private:
@@ -154,26 +143,26 @@
         [[nodiscard]] bool operator<(const DeadlineKey &other) const;
     };
 
-    struct WorthKey
+    struct DensityKey
     {
-        int worth{};
+        int densityLevel{};
         TimePoint due;
         std::uint64_t sequence{};
         std::size_t slot{};
-        [[nodiscard]] bool operator<(const WorthKey &other) const;
+        [[nodiscard]] bool operator<(const DensityKey &other) const;
     };
 
-    struct Share
+    struct Flow
     {
         WorkspaceName name;
         std::int64_t weight{};
-        double nextStart{};
+        double startTag{};
         Duration backlog{};
         std::set<DeadlineKey> byDeadline;
-        std::set<WorthKey> byWorth;
+        std::set<DensityKey> byDensity;
     };
 
-    /*! @brief Hash that mixes all bits, as the table needs it; identities from callers' keys may have patterns. */
+    /*! @brief Hash that mixes all bits, since ids derived from callers' keys may have patterns. */
     struct RunHash
     {
         [[nodiscard]] std::size_t operator()(const RunId &run) const
@@ -182,42 +171,42 @@
         }
     };
 
-    /*! @brief Place of one queued run; slots are used again. */
+    /*! @brief Storage of one queued run; slots are reused. */
     struct Slot
     {
         QueueItem item;
-        std::size_t share{};
-        /*! @brief Order of arrival, which decides between equals. */
+        std::size_t flow{};
+        /*! @brief Order of arrival; breaks ties. */
         std::uint64_t sequence{};
     };
 
-    using ShareKey = std::pair<double, std::size_t>;
-    using StartKey = std::pair<TimePoint, std::uint64_t>;
+    using FlowKey = std::pair<double, std::size_t>;
+    using LatestStartKey = std::pair<TimePoint, std::uint64_t>;
 
-    std::size_t shareOf(const WorkspaceName &workspace);
-    void insert(QueueItem item, std::size_t share);
+    std::size_t flowIndexOf(const WorkspaceName &workspace);
+    void insert(QueueItem item, std::size_t flow);
     QueueItem remove(std::size_t slot);
     std::size_t freeSlot();
-    void rank(std::size_t share);
-    [[nodiscard]] std::size_t leastWorth() const;
-    [[nodiscard]] std::size_t choose(const Share &share, TimePoint now) const;
-    [[nodiscard]] bool saturated(const Share &share, TimePoint now) const;
-    [[nodiscard]] Duration wait(const Share &share) const;
+    void updateHeaps(std::size_t flow);
+    [[nodiscard]] std::size_t leastDenseSlot() const;
+    [[nodiscard]] std::size_t selectSlot(const Flow &flow, TimePoint now) const;
+    [[nodiscard]] bool missesDeadlines(const Flow &flow, TimePoint now) const;
+    [[nodiscard]] Duration wait(const Flow &flow) const;
 
     std::size_t m_limit;
-    std::size_t m_parallel;
+    std::size_t m_concurrency;
     double m_virtualTime{};
     std::int64_t m_activeWeight{};
     Duration m_backlog{};
     std::uint64_t m_nextSequence{1};
-    std::vector<Share> m_shares;
-    absl::flat_hash_map<std::string, std::size_t> m_shareOf;
+    std::vector<Flow> m_flows;
+    absl::flat_hash_map<std::string, std::size_t> m_flowIndexes;
     std::vector<Slot> m_slots;
     std::vector<std::size_t> m_freeSlots;
-    absl::flat_hash_map<RunId, std::size_t, RunHash> m_slotOf;
-    IndexedHeap<StartKey> m_latestStarts;
-    IndexedHeap<ShareKey> m_starts;
-    IndexedHeap<ShareKey> m_largest;
+    absl::flat_hash_map<RunId, std::size_t, RunHash> m_slotsByRun;
+    IndexedHeap<LatestStartKey> m_latestStarts;
+    IndexedHeap<FlowKey> m_startTags;
+    IndexedHeap<FlowKey> m_largestBacklogs;
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/scheduling/indexedheap.h
+++ b/src/bergamottide/scheduling/indexedheap.h
@@ -8,9 +8,7 @@
 namespace bergamottide {
 
 /**
- * @brief Binary heap over small integers whose keys may change; the smallest key is on top.
- *
- * Every change costs at most a logarithm of the number of members.
+ * @brief Indexed binary min-heap: members are small integers whose keys can be updated in logarithmic time.
  *
  * @tparam Key Type of the keys, compared by `<`; a total order makes the heap deterministic.
  */
@@ -18,10 +16,9 @@
 class IndexedHeap
 {
 public:
-    /*! @brief Type of the members. */
     using Index = std::size_t;
 
-    /*! @brief Tells if the heap has no member. */
+    /*! @brief Returns whether the heap is empty. */
     [[nodiscard]] bool empty() const noexcept
     {
         return m_nodes.empty();
@@ -33,35 +30,31 @@
         return m_nodes.size();
     }
 
-    /*! @brief Tells if an index is a member. */
+    /*! @brief Returns whether an index is a member. */
     [[nodiscard]] bool contains(Index index) const noexcept
     {
         return index < m_positions.size() && m_positions[index] != absent;
     }
 
-    /*! @brief Returns the member with the smallest key; the heap is not empty. */
+    /*! @brief Returns the member with the smallest key; the heap must not be empty. */
     [[nodiscard]] Index top() const
     {
         return m_nodes.front().second;
     }
 
-    /*! @brief Returns the smallest key; the heap is not empty. */
+    /*! @brief Returns the smallest key; the heap must not be empty. */
     [[nodiscard]] const Key &topKey() const
     {
         return m_nodes.front().first;
     }
 
-    /*! @brief Returns the number of steps up and down the heap so far; tests bound the cost by it. */
+    /*! @brief Returns the number of swaps so far; lets tests check the complexity. */
     [[nodiscard]] std::uint64_t steps() const noexcept
     {
         return m_steps;
     }
 
-    /**
-     * @brief Adds a member, or changes its key.
-     * @param index Member.
-     * @param key Its key from now on.
-     */
+    /*! @brief Adds a member, or changes its key. */
     void set(Index index, Key key)
     {
         if (!contains(index)) {
@@ -70,24 +63,21 @@
         }
         const std::size_t position = m_positions[index];
         m_nodes[position].first = std::move(key);
-        sink(rise(position));
+        siftDown(siftUp(position));
     }
 
-    /**
-     * @brief Removes a member; nothing happens if the index is not one.
-     * @param index Member.
-     */
+    /*! @brief Removes an index; does nothing if it is not a member. */
     void erase(Index index)
     {
         if (!contains(index)) {
             return;
         }
         const std::size_t position = m_positions[index];
-        exchange(position, m_nodes.size() - 1);
+        swapNodes(position, m_nodes.size() - 1);
         m_nodes.pop_back();
         m_positions[index] = absent;
         if (position < m_nodes.size()) {
-            sink(rise(position));
+            siftDown(siftUp(position));
         }
     }
 
@@ -101,10 +91,10 @@
         }
         m_positions[index] = m_nodes.size();
         m_nodes.emplace_back(std::move(key), index);
-        rise(m_nodes.size() - 1);
+        siftUp(m_nodes.size() - 1);
     }
 
-    void exchange(std::size_t left, std::size_t right)
+    void swapNodes(std::size_t left, std::size_t right)
     {
         ++m_steps;
         std::swap(m_nodes[left], m_nodes[right]);
@@ -112,20 +102,20 @@
         m_positions[m_nodes[right].second] = right;
     }
 
-    std::size_t rise(std::size_t position)
+    std::size_t siftUp(std::size_t position)
     {
         while (position > 0) {
             const std::size_t parent = (position - 1) / 2;
             if (!(m_nodes[position].first < m_nodes[parent].first)) {
                 break;
             }
-            exchange(position, parent);
+            swapNodes(position, parent);
             position = parent;
         }
         return position;
     }
 
-    void sink(std::size_t position)
+    void siftDown(std::size_t position)
     {
         for (;;) {
             std::size_t smallest = position;
@@ -137,7 +127,7 @@
             if (smallest == position) {
                 return;
             }
-            exchange(position, smallest);
+            swapNodes(position, smallest);
             position = smallest;
         }
     }
--- a/src/bergamottide/scheduling/servicetime.cpp
+++ b/src/bergamottide/scheduling/servicetime.cpp
@@ -6,35 +6,35 @@
 
 namespace {
 
-/*! @brief Samples below which a class is not trusted: the entry's own estimate, learned from many sides, is better. */
-constexpr std::uint64_t trusted = 8;
-/*! @brief Classes kept at most: pipelines times stages times kinds of a document fit; more are not told apart. */
+/*! @brief Minimum samples for an estimate; with fewer the entry's estimate, from many endpoints, is better. */
+constexpr std::uint64_t minTrustedSamples = 8;
+/*! @brief Bounds the memory; further classes are only counted in the estimates for all kinds. */
 constexpr std::size_t maxClasses = 4096;
 
-ServiceClass allKinds(ServiceClass work)
+ServiceClass allKinds(ServiceClass serviceClass)
 {
-    work.kind = KindName{};
-    return work;
+    serviceClass.kind = KindName{};
+    return serviceClass;
 }
 
 } // namespace
 
-void ServiceTimes::learn(const ServiceClass &work, double size, Duration service)
+void ServiceTimes::learn(const ServiceClass &serviceClass, double size, Duration service)
 {
-    const auto micros = static_cast<double>(service.count());
-    m_all.learn(0.0, micros);
-    m_perUnit.learn(0.0, micros / std::max(size, 1.0));
-    learnClass(allKinds(work), size, micros);
-    if (!work.kind.empty()) {
-        learnClass(work, size, micros);
+    const auto microseconds = static_cast<double>(service.count());
+    m_overall.learn(0.0, microseconds);
+    m_perUnit.learn(0.0, microseconds / std::max(size, 1.0));
+    learnClass(allKinds(serviceClass), size, microseconds);
+    if (!serviceClass.kind.empty()) {
+        learnClass(serviceClass, size, microseconds);
     }
 }
 
-std::optional<Duration> ServiceTimes::estimate(const ServiceClass &work, double size) const
+std::optional<Duration> ServiceTimes::estimate(const ServiceClass &serviceClass, double size) const
 {
-    for (const ServiceClass &candidate : {work, allKinds(work)}) {
-        const auto found = m_lines.find(candidate);
-        if (found == m_lines.end() || found->second.samples() < trusted) {
+    for (const ServiceClass &candidate : {serviceClass, allKinds(serviceClass)}) {
+        const auto found = m_regressions.find(candidate);
+        if (found == m_regressions.end() || found->second.samples() < minTrustedSamples) {
             continue;
         }
         return Duration{static_cast<Duration::rep>(found->second.estimate(size))};
@@ -44,7 +44,7 @@
 
 Duration ServiceTimes::mean() const noexcept
 {
-    return Duration{static_cast<Duration::rep>(m_all.estimate(0.0))};
+    return Duration{static_cast<Duration::rep>(m_overall.estimate(0.0))};
 }
 
 double ServiceTimes::perUnit() const noexcept
@@ -52,12 +52,12 @@
     return m_perUnit.estimate(0.0);
 }
 
-void ServiceTimes::learnClass(const ServiceClass &work, double size, double micros)
+void ServiceTimes::learnClass(const ServiceClass &serviceClass, double size, double microseconds)
 {
-    if (m_lines.size() >= maxClasses && !m_lines.contains(work)) {
+    if (m_regressions.size() >= maxClasses && !m_regressions.contains(serviceClass)) {
         return;
     }
-    m_lines[work].learn(size, micros);
+    m_regressions[serviceClass].learn(size, microseconds);
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/scheduling/servicetime.h
+++ b/src/bergamottide/scheduling/servicetime.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bergamottide/core/fwd.h"
-#include "bergamottide/scheduling/robustline.h"
+#include "bergamottide/scheduling/robustregression.h"
 
 #include <cstddef>
 #include <map>
@@ -10,13 +10,13 @@
 
 namespace bergamottide {
 
-/*! @brief Work whose service times are alike but for its size. */
+/*! @brief Class of runs whose service times depend on their size only. */
 struct ServiceClass
 {
     PipelineName pipeline;
     StageName stage;
     ModelName model;
-    /*! @brief Empty for all kinds together. */
+    /*! @brief Empty for the class of all kinds. */
     KindName kind;
 
     [[nodiscard]] bool operator<(const ServiceClass &other) const
@@ -26,44 +26,42 @@
 };
 
 /**
- * @brief Service times of one endpoint, learned online for each class of work and size.
+ * @brief Service times of one endpoint, learned online.
  *
- * Load it is made for: long and short work of several kinds at one endpoint, whose speed
- * may change at any time. Harm prevented: work started that cannot end in time, and queues
- * whose costs say nothing. Each class has a line over size; a class with too few samples
- * falls back to all kinds of the same stage together.
+ * Each class has a linear regression over size. A class with too few samples falls back to
+ * the class of all kinds of the same stage.
  */
 class ServiceTimes
 {
 public:
     /**
-     * @brief Learns how long a run took at the endpoint.
-     * @param work Class of the run.
+     * @brief Adds the service time of a completed run.
+     * @param serviceClass Class of the run.
      * @param size Size in the stage's own unit; zero if unknown.
-     * @param service Time at the endpoint.
+     * @param service Time that the run took at the endpoint.
      */
-    void learn(const ServiceClass &work, double size, Duration service);
+    void learn(const ServiceClass &serviceClass, double size, Duration service);
 
     /**
-     * @brief Estimates how long a run takes at the endpoint.
-     * @param work Class of the run.
+     * @brief Estimates the service time of a run.
+     * @param serviceClass Class of the run.
      * @param size Size in the stage's own unit; zero if unknown.
-     * @return Estimate, or nothing while too little is known.
+     * @return Estimate, or nothing while there are too few samples.
      */
-    [[nodiscard]] std::optional<Duration> estimate(const ServiceClass &work, double size) const;
+    [[nodiscard]] std::optional<Duration> estimate(const ServiceClass &serviceClass, double size) const;
 
-    /*! @brief Returns the smoothed time at the endpoint of a run of any class; zero before the first. */
+    /*! @brief Returns the moving average of the service time over all classes; zero before the first run. */
     [[nodiscard]] Duration mean() const noexcept;
 
-    /*! @brief Returns the smoothed time for one unit of size, in microseconds; zero before the first. */
+    /*! @brief Returns the moving average of microseconds per unit of size; zero before the first run. */
     [[nodiscard]] double perUnit() const noexcept;
 
 private:
-    void learnClass(const ServiceClass &work, double size, double micros);
+    void learnClass(const ServiceClass &serviceClass, double size, double microseconds);
 
-    std::map<ServiceClass, RobustLine> m_lines;
-    RobustLine m_all;
-    RobustLine m_perUnit;
+    std::map<ServiceClass, RobustRegression> m_regressions;
+    RobustRegression m_overall;
+    RobustRegression m_perUnit;
 };
 
 } // namespace bergamottide
--- a/test/bergamottide/scheduling/concurrencylimit.cpp
+++ b/test/bergamottide/scheduling/concurrencylimit.cpp
@@ -7,25 +7,25 @@
 class ConcurrencyLimitTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ConcurrencyLimitTest);
-    CPPUNIT_TEST(startsAtTheMaximumAndStaysThereWhileBatchingPays);
-    CPPUNIT_TEST(refusalsShrinkItAndCompletionsBringItBack);
-    CPPUNIT_TEST(slownessAloneNeverTakesMoreThanHalf);
-    CPPUNIT_TEST(oneRoundShrinksOnce);
-    CPPUNIT_TEST(maximumMovesALimitThatStoodAtIt);
+    CPPUNIT_TEST(staysAtMaximumWhileBatchingIsEfficient);
+    CPPUNIT_TEST(rejectionsDecreaseAndCompletionsRestoreLimit);
+    CPPUNIT_TEST(slownessNeverDecreasesLimitBelowHalf);
+    CPPUNIT_TEST(decreasesOncePerRoundOfRuns);
+    CPPUNIT_TEST(limitAtMaximumFollowsMaximum);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void startsAtTheMaximumAndStaysThereWhileBatchingPays()
+    void staysAtMaximumWhileBatchingIsEfficient()
     {
         ConcurrencyLimit limit{16};
         for (int run = 0; run < 1000; ++run) {
-            // Sixteen together take six times as long as one: batching more than doubles the work done.
+            // 16 concurrent runs that take 6 times as long as a single one still increase the throughput.
             limit.completed(6.0, 16);
         }
         CPPUNIT_ASSERT_EQUAL(16U, limit.current());
     }
 
-    void refusalsShrinkItAndCompletionsBringItBack()
+    void rejectionsDecreaseAndCompletionsRestoreLimit()
     {
         ConcurrencyLimit limit{16};
         for (int run = 0; run < 1000; ++run) {
@@ -38,7 +38,7 @@
         CPPUNIT_ASSERT_EQUAL(16U, limit.current());
     }
 
-    void slownessAloneNeverTakesMoreThanHalf()
+    void slownessNeverDecreasesLimitBelowHalf()
     {
         ConcurrencyLimit limit{16};
         for (int run = 0; run < 1000; ++run) {
@@ -47,7 +47,7 @@
         CPPUNIT_ASSERT_EQUAL(8U, limit.current());
     }
 
-    void oneRoundShrinksOnce()
+    void decreasesOncePerRoundOfRuns()
     {
         ConcurrencyLimit limit{20};
         for (int run = 0; run < 39; ++run) {
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT(limit.current() >= 16U);
     }
 
-    void maximumMovesALimitThatStoodAtIt()
+    void limitAtMaximumFollowsMaximum()
     {
         ConcurrencyLimit limit{4};
         limit.setMaximum(8);
--- a/test/bergamottide/scheduling/fairqueue.cpp
+++ b/test/bergamottide/scheduling/fairqueue.cpp
@@ -27,7 +27,7 @@
     return {RunId{RequestId{0, number}, 0, 1}, name, cost, Duration{}, TimePoint{} + deadline, value};
 }
 
-/*! @brief Reads one step for both queues from a word, so that failing cases shrink well. */
+/*! @brief Operation decoded from an integer, so that failing cases shrink well. */
 struct Step
 {
     explicit Step(std::uint32_t word)
@@ -48,7 +48,7 @@
     Duration following;
 };
 
-void sameOutcome(const QueueOutcome &left, const QueueOutcome &right)
+void assertSameOutcome(const QueueOutcome &left, const QueueOutcome &right)
 {
     RC_ASSERT(left.accepted == right.accepted);
     RC_ASSERT(left.victim.has_value() == right.victim.has_value());
@@ -62,23 +62,23 @@
 class FairQueueTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FairQueueTest);
-    CPPUNIT_TEST(ordersLikeTheNaiveQueue);
-    CPPUNIT_TEST(sharesByWeightUnderSaturation);
+    CPPUNIT_TEST(matchesNaiveImplementation);
+    CPPUNIT_TEST(dividesTimeByWeightUnderSaturation);
     CPPUNIT_TEST(idleWorkspaceGainsNoCredit);
-    CPPUNIT_TEST(burstDoesNotDelayTheNextRunOfAnother);
-    CPPUNIT_TEST(earliestDeadlineGoesFirstWhileAllFit);
-    CPPUNIT_TEST(longFollowingWorkGoesFirst);
-    CPPUNIT_TEST(highestWorthGoesFirstWhenNotAllFit);
-    CPPUNIT_TEST(victimIsTheLeastWorthOfTheFurthestOver);
-    CPPUNIT_TEST(offeredRunThatIsTheWorstIsRefused);
-    CPPUNIT_TEST(doomedLeaveInOrder);
-    CPPUNIT_TEST(everyWorkspaceIsServedWhateverTheValues);
-    CPPUNIT_TEST(waitIsShareOfTheBacklogButNeverMoreThanAll);
-    CPPUNIT_TEST(costGrowsWithTheLogarithmOfWorkspaces);
+    CPPUNIT_TEST(burstDoesNotDelayOtherWorkspaces);
+    CPPUNIT_TEST(servesEarliestDeadlineFirst);
+    CPPUNIT_TEST(costOfLaterStagesAdvancesDeadline);
+    CPPUNIT_TEST(servesHighestValueDensityFirstWhenDeadlinesAreMissed);
+    CPPUNIT_TEST(evictsLowestValueDensityOfLargestBacklog);
+    CPPUNIT_TEST(rejectsPushedRunOfLowestValueDensity);
+    CPPUNIT_TEST(removesInfeasibleRunsInOrder);
+    CPPUNIT_TEST(valuesDoNotStarveWorkspaces);
+    CPPUNIT_TEST(waitIsBoundedByTotalBacklog);
+    CPPUNIT_TEST(operationsAreLogarithmicInWorkspaces);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void ordersLikeTheNaiveQueue()
+    void matchesNaiveImplementation()
     {
         checkProperty(
             [](const std::vector<std::uint32_t> &words) {
@@ -96,7 +96,7 @@
                             item(++number, workspace(step.workspace), step.cost, step.deadline, step.value);
                         offered.deadline = now + step.deadline;
                         offered.following = step.following;
-                        sameOutcome(queue.push(offered), naive.push(offered));
+                        assertSameOutcome(queue.push(offered), naive.push(offered));
                     } else if (step.kind < 7) {
                         RC_ASSERT(queue.pop(now) == naive.pop(now));
                     } else if (step.workspace == 0) {
@@ -111,13 +111,13 @@
             11, 2000);
     }
 
-    void sharesByWeightUnderSaturation()
+    void dividesTimeByWeightUnderSaturation()
     {
         FairQueue queue{10000, 1};
         queue.setWeight(workspace(0), 1.0);
         queue.setWeight(workspace(1), 3.0);
         for (std::uint64_t number = 0; number < 4000; ++number) {
-            // The lighter workspace sends long runs, the heavier short ones: time is shared, not turns.
+            // Different costs tell a division of time from a division of runs.
             const bool heavy = number % 2 == 1;
             (void)queue.push(item(number, workspace(number % 2), heavy ? 10ms : 70ms, 10h));
         }
@@ -143,14 +143,14 @@
         for (std::uint64_t number = 400; number < 500; ++number) {
             (void)queue.push(item(number, workspace(1)));
         }
-        int ofIdle = 0;
+        int servedOfIdle = 0;
         for (int turn = 0; turn < 100; ++turn) {
-            ofIdle += queue.pop(TimePoint{})->workspace == workspace(1) ? 1 : 0;
+            servedOfIdle += queue.pop(TimePoint{})->workspace == workspace(1) ? 1 : 0;
         }
-        CPPUNIT_ASSERT(std::abs(ofIdle - 50) <= 1);
+        CPPUNIT_ASSERT(std::abs(servedOfIdle - 50) <= 1);
     }
 
-    void burstDoesNotDelayTheNextRunOfAnother()
+    void burstDoesNotDelayOtherWorkspaces()
     {
         FairQueue queue{10000, 1};
         for (std::uint64_t number = 0; number < 5000; ++number) {
@@ -161,7 +161,7 @@
         CPPUNIT_ASSERT(queue.pop(TimePoint{})->workspace == workspace(1));
     }
 
-    void earliestDeadlineGoesFirstWhileAllFit()
+    void servesEarliestDeadlineFirst()
     {
         FairQueue queue{10, 1};
         (void)queue.push(item(1, workspace(0), 100ms, 9s, 1.0));
@@ -172,7 +172,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, queue.pop(TimePoint{})->run.request.low);
     }
 
-    void longFollowingWorkGoesFirst()
+    void costOfLaterStagesAdvancesDeadline()
     {
         FairQueue queue{10, 1};
         (void)queue.push(item(1, workspace(0), 100ms, 5s));
@@ -181,11 +181,11 @@
         (void)queue.push(longer);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, queue.pop(TimePoint{})->run.request.low);
         (void)queue.push(longer);
-        // Too late for both: costs that differ by a tenth are worth the same, and the order stays.
+        // Both deadlines have passed, but the value densities are of the same level, so that the order is kept.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, queue.pop(TimePoint{} + 10s)->run.request.low);
     }
 
-    void highestWorthGoesFirstWhenNotAllFit()
+    void servesHighestValueDensityFirstWhenDeadlinesAreMissed()
     {
         FairQueue queue{10, 1};
         (void)queue.push(item(1, workspace(0), 400ms, 1s, 1.0));
@@ -196,7 +196,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, queue.pop(TimePoint{} + 100ms)->run.request.low);
     }
 
-    void victimIsTheLeastWorthOfTheFurthestOver()
+    void evictsLowestValueDensityOfLargestBacklog()
     {
         FairQueue queue{4, 1};
         queue.setWeight(workspace(1), 10.0);
@@ -209,7 +209,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, outcome.victim->run.request.low);
     }
 
-    void offeredRunThatIsTheWorstIsRefused()
+    void rejectsPushedRunOfLowestValueDensity()
     {
         FairQueue queue{2, 1};
         (void)queue.push(item(1, workspace(0), 100ms, 9s, 2.0));
@@ -219,7 +219,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, queue.size());
     }
 
-    void doomedLeaveInOrder()
+    void removesInfeasibleRunsInOrder()
     {
         FairQueue queue{10, 1};
         QueueItem late = item(1, workspace(0), 100ms, 900ms);
@@ -229,13 +229,13 @@
         (void)queue.push(item(3, workspace(1), 100ms, 5s));
         CPPUNIT_ASSERT(queue.nextDoomed() == TimePoint{} + 400ms);
         CPPUNIT_ASSERT(queue.takeDoomed(TimePoint{} + 400ms).empty());
-        const auto doomed = queue.takeDoomed(TimePoint{} + 501ms);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, doomed.size());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, doomed[0].run.request.low);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, doomed[1].run.request.low);
+        const auto infeasible = queue.takeDoomed(TimePoint{} + 501ms);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, infeasible.size());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, infeasible[0].run.request.low);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, infeasible[1].run.request.low);
     }
 
-    void everyWorkspaceIsServedWhateverTheValues()
+    void valuesDoNotStarveWorkspaces()
     {
         checkProperty(
             [](const std::vector<std::uint32_t> &words) {
@@ -248,7 +248,7 @@
                     const Step step{word};
                     (void)queue.push(item(++number, workspace(3 + step.workspace), step.cost, 10h, 1000.0));
                 }
-                // Each workspace comes up within one round of the longest run of every other.
+                // Each workspace is served within one round of the longest runs of the others.
                 std::set<WorkspaceName> served;
                 for (int turn = 0; turn < 8 * 8 && queue.size() > 0; ++turn) {
                     served.insert(queue.pop(TimePoint{})->workspace);
@@ -260,7 +260,7 @@
             12);
     }
 
-    void waitIsShareOfTheBacklogButNeverMoreThanAll()
+    void waitIsBoundedByTotalBacklog()
     {
         FairQueue queue{100, 2};
         for (std::uint64_t number = 0; number < 10; ++number) {
@@ -273,7 +273,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, queue.waits().size());
     }
 
-    void costGrowsWithTheLogarithmOfWorkspaces()
+    void operationsAreLogarithmicInWorkspaces()
     {
         for (const std::uint64_t workspaces : {5, 520, 10000}) {
             FairQueue queue{4 * workspaces, 1};
@@ -287,7 +287,7 @@
                 const QueueItem next = *queue.pop(TimePoint{});
                 (void)queue.push(item(number + pair, next.workspace, (1 + pair % 7) * 10ms, 10h));
             }
-            // Two changes in each of two orders, each at most the height of its tree.
+            // Two updates in each of two heaps, each bounded by the height of the heap.
             const double bound = 4.0 * (std::log2(static_cast<double>(workspaces)) + 1.0);
             CPPUNIT_ASSERT(static_cast<double>(queue.steps() - before) <= bound * static_cast<double>(pairs));
         }
--- a/test/bergamottide/scheduling/naivefairqueue.h
+++ b/test/bergamottide/scheduling/naivefairqueue.h
@@ -10,33 +10,33 @@
 
 namespace bergamottide::test {
 
-/*! @brief The rules of `FairQueue` written down plainly, with a look at every run for every step. */
+/*! @brief Reference implementation of `FairQueue` that iterates over all runs for each operation. */
 class NaiveFairQueue
 {
 public:
-    NaiveFairQueue(std::size_t limit, std::size_t parallel)
+    NaiveFairQueue(std::size_t limit, std::size_t concurrency)
         : m_limit{limit}
-        , m_parallel{parallel}
+        , m_concurrency{concurrency}
     {
     }
 
     void setWeight(const WorkspaceName &workspace, double weight)
     {
-        order(workspace);
+        rankOf(workspace);
         m_weights[workspace] = std::llround(weight * 1000.0);
     }
 
     QueueOutcome push(const QueueItem &item)
     {
-        order(item.workspace);
+        rankOf(item.workspace);
         if (runsOf(item.workspace).empty()) {
-            m_starts[item.workspace] = std::max(m_starts[item.workspace], m_virtualTime);
+            m_startTags[item.workspace] = std::max(m_startTags[item.workspace], m_virtualTime);
         }
         m_items.push_back(item);
         if (m_items.size() <= m_limit) {
             return {true, std::nullopt};
         }
-        const QueueItem victim = take(least(furthestOver()));
+        const QueueItem victim = removeRun(leastDense(largestBacklog()));
         return victim.run == item.run ? QueueOutcome{} : QueueOutcome{true, victim};
     }
 
@@ -45,11 +45,11 @@
         if (m_items.empty()) {
             return std::nullopt;
         }
-        const WorkspaceName next = smallestStart();
-        m_virtualTime = std::max(m_virtualTime, m_starts[next]);
-        const RunId chosen = saturated(next, now) ? best(next) : earliest(next);
-        const QueueItem item = take(chosen);
-        m_starts[next] += static_cast<double>(item.cost.count()) / static_cast<double>(weightOf(next));
+        const WorkspaceName next = smallestStartTag();
+        m_virtualTime = std::max(m_virtualTime, m_startTags[next]);
+        const RunId chosen = missesDeadlines(next, now) ? mostDense(next) : earliestDeadline(next);
+        const QueueItem item = removeRun(chosen);
+        m_startTags[next] += static_cast<double>(item.cost.count()) / static_cast<double>(weightOf(next));
         return item;
     }
 
@@ -62,19 +62,19 @@
 
     std::vector<QueueItem> takeDoomed(TimePoint now)
     {
-        std::vector<QueueItem> doomed;
+        std::vector<QueueItem> infeasible;
         for (const QueueItem &item : m_items) {
             if (item.deadline - item.cost - item.following < now) {
-                doomed.push_back(item);
+                infeasible.push_back(item);
             }
         }
-        std::stable_sort(doomed.begin(), doomed.end(), [](const QueueItem &left, const QueueItem &right) {
+        std::stable_sort(infeasible.begin(), infeasible.end(), [](const QueueItem &left, const QueueItem &right) {
             return left.latestStart() < right.latestStart();
         });
-        for (const QueueItem &item : doomed) {
+        for (const QueueItem &item : infeasible) {
             erase(item.run);
         }
-        return doomed;
+        return infeasible;
     }
 
     [[nodiscard]] std::size_t size() const
@@ -94,10 +94,10 @@
         return runs;
     }
 
-    /*! @brief Workspaces rank in the order in which they were first heard of, where all else is equal. */
-    std::size_t order(const WorkspaceName &workspace)
+    /*! @brief Returns the rank of a workspace, which breaks ties: the order of first use. */
+    std::size_t rankOf(const WorkspaceName &workspace)
     {
-        return m_order.try_emplace(workspace, m_order.size()).first->second;
+        return m_ranks.try_emplace(workspace, m_ranks.size()).first->second;
     }
 
     std::int64_t weightOf(const WorkspaceName &workspace)
@@ -114,7 +114,7 @@
         return sum;
     }
 
-    [[nodiscard]] std::vector<WorkspaceName> active() const
+    [[nodiscard]] std::vector<WorkspaceName> activeWorkspaces() const
     {
         std::vector<WorkspaceName> names;
         for (const QueueItem &item : m_items) {
@@ -125,55 +125,56 @@
         return names;
     }
 
-    WorkspaceName smallestStart()
+    WorkspaceName smallestStartTag()
     {
-        std::vector<WorkspaceName> names = active();
+        std::vector<WorkspaceName> names = activeWorkspaces();
         return *std::min_element(names.begin(), names.end(), [this](const auto &left, const auto &right) {
-            return std::pair{m_starts[left], order(left)} < std::pair{m_starts[right], order(right)};
+            return std::pair{m_startTags[left], rankOf(left)} < std::pair{m_startTags[right], rankOf(right)};
         });
     }
 
-    WorkspaceName furthestOver()
+    WorkspaceName largestBacklog()
     {
-        const auto over = [this](const WorkspaceName &name) {
+        const auto normalizedBacklog = [this](const WorkspaceName &name) {
             return static_cast<double>(costOf(runsOf(name)).count()) / static_cast<double>(weightOf(name));
         };
-        std::vector<WorkspaceName> names = active();
+        std::vector<WorkspaceName> names = activeWorkspaces();
         return *std::min_element(names.begin(), names.end(), [&](const auto &left, const auto &right) {
-            return std::pair{-over(left), order(left)} < std::pair{-over(right), order(right)};
+            return std::pair{-normalizedBacklog(left), rankOf(left)}
+            < std::pair{-normalizedBacklog(right), rankOf(right)};
         });
     }
 
-    static int worth(const QueueItem &item)
+    static int densityLevel(const QueueItem &item)
     {
         return static_cast<int>(std::floor(2.0 * std::log2(item.value / static_cast<double>(item.cost.count()))));
     }
 
-    [[nodiscard]] RunId best(const WorkspaceName &workspace) const
+    [[nodiscard]] RunId mostDense(const WorkspaceName &workspace) const
     {
         const auto runs = runsOf(workspace);
-        return std::min_element(
-                   runs.begin(), runs.end(),
-                   [](const auto &left, const auto &right) {
-                       return std::tuple{-worth(left), left.due()} < std::tuple{-worth(right), right.due()};
-                   })
+        return std::min_element(runs.begin(), runs.end(),
+                                [](const auto &left, const auto &right) {
+                                    return std::tuple{-densityLevel(left), left.due()}
+                                    < std::tuple{-densityLevel(right), right.due()};
+                                })
             ->run;
     }
 
-    [[nodiscard]] RunId least(const WorkspaceName &workspace) const
+    [[nodiscard]] RunId leastDense(const WorkspaceName &workspace) const
     {
-        // The last one of the worst: among equals the newest leaves.
+        // Reversed, so that the newest of equal runs is evicted.
         auto runs = runsOf(workspace);
         std::reverse(runs.begin(), runs.end());
-        return std::max_element(
-                   runs.begin(), runs.end(),
-                   [](const auto &left, const auto &right) {
-                       return std::tuple{-worth(left), left.due()} < std::tuple{-worth(right), right.due()};
-                   })
+        return std::max_element(runs.begin(), runs.end(),
+                                [](const auto &left, const auto &right) {
+                                    return std::tuple{-densityLevel(left), left.due()}
+                                    < std::tuple{-densityLevel(right), right.due()};
+                                })
             ->run;
     }
 
-    [[nodiscard]] RunId earliest(const WorkspaceName &workspace) const
+    [[nodiscard]] RunId earliestDeadline(const WorkspaceName &workspace) const
     {
         const auto runs = runsOf(workspace);
         return std::min_element(runs.begin(), runs.end(),
@@ -183,24 +184,24 @@
             ->run;
     }
 
-    bool saturated(const WorkspaceName &workspace, TimePoint now)
+    bool missesDeadlines(const WorkspaceName &workspace, TimePoint now)
     {
         std::int64_t weights = 0;
-        for (const WorkspaceName &name : active()) {
+        for (const WorkspaceName &name : activeWorkspaces()) {
             weights += weightOf(name);
         }
         const auto runs = runsOf(workspace);
-        const double atShare = static_cast<double>(costOf(runs).count()) * static_cast<double>(weights)
+        const double atFairShare = static_cast<double>(costOf(runs).count()) * static_cast<double>(weights)
             / static_cast<double>(weightOf(workspace));
         const double wait =
-            std::min(atShare, static_cast<double>(costOf(m_items).count())) / static_cast<double>(m_parallel);
+            std::min(atFairShare, static_cast<double>(costOf(m_items).count())) / static_cast<double>(m_concurrency);
         const auto last = std::max_element(runs.begin(), runs.end(), [](const auto &left, const auto &right) {
             return std::tuple{left.due(), -left.value} <= std::tuple{right.due(), -right.value};
         });
         return now + Duration{static_cast<Duration::rep>(wait)} > last->due();
     }
 
-    QueueItem take(const RunId &run)
+    QueueItem removeRun(const RunId &run)
     {
         const auto found =
             std::find_if(m_items.begin(), m_items.end(), [&run](const QueueItem &item) { return item.run == run; });
@@ -210,12 +211,12 @@
     }
 
     std::size_t m_limit;
-    std::size_t m_parallel;
+    std::size_t m_concurrency;
     double m_virtualTime{};
     std::vector<QueueItem> m_items;
-    std::map<WorkspaceName, std::size_t> m_order;
+    std::map<WorkspaceName, std::size_t> m_ranks;
     std::map<WorkspaceName, std::int64_t> m_weights;
-    std::map<WorkspaceName, double> m_starts;
+    std::map<WorkspaceName, double> m_startTags;
 };
 
 } // namespace bergamottide::test
--- a/test/bergamottide/scheduling/servicetime.cpp
+++ b/test/bergamottide/scheduling/servicetime.cpp
@@ -17,18 +17,18 @@
 
 } // namespace
 
-class ServiceTimeTest : public CppUnit::TestFixture
+class ServiceTimesTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(ServiceTimeTest);
-    CPPUNIT_TEST(learnsBaseAndSlope);
+    CPPUNIT_TEST_SUITE(ServiceTimesTest);
+    CPPUNIT_TEST(learnsInterceptAndSlope);
     CPPUNIT_TEST(unknownKindFallsBackToItsStage);
-    CPPUNIT_TEST(littleIsNotTrusted);
-    CPPUNIT_TEST(outlierMovesLittle);
-    CPPUNIT_TEST(lastingChangeIsBelieved);
+    CPPUNIT_TEST(givesNoEstimateFromFewSamples);
+    CPPUNIT_TEST(outlierHasLittleEffect);
+    CPPUNIT_TEST(followsLastingChange);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void learnsBaseAndSlope()
+    void learnsInterceptAndSlope()
     {
         ServiceTimes times;
         std::mt19937 random{1};
@@ -54,7 +54,7 @@
         CPPUNIT_ASSERT(!times.estimate({PipelineName{"q"}, StageName{"s"}, ModelName{"m"}, KindName{"k"}}, 1.0));
     }
 
-    void littleIsNotTrusted()
+    void givesNoEstimateFromFewSamples()
     {
         ServiceTimes times;
         for (int sample = 0; sample < 7; ++sample) {
@@ -65,7 +65,7 @@
         CPPUNIT_ASSERT(times.estimate(classOf("k"), 1.0));
     }
 
-    void outlierMovesLittle()
+    void outlierHasLittleEffect()
     {
         ServiceTimes times;
         for (int sample = 0; sample < 100; ++sample) {
@@ -75,7 +75,7 @@
         CPPUNIT_ASSERT(*times.estimate(classOf("k"), 1.0) < 54ms);
     }
 
-    void lastingChangeIsBelieved()
+    void followsLastingChange()
     {
         ServiceTimes times;
         for (int sample = 0; sample < 100; ++sample) {
@@ -92,4 +92,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ServiceTimeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ServiceTimesTest);
