--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -8,7 +8,7 @@
 
 /**
  * @file
- * @brief Cost of one admission of a pipeline of four stages, by the number of endpoints of each stage.
+ * @brief Time of one admission decision for a pipeline of four stages, by the number of endpoints per stage.
  */
 
 namespace {
--- a/src/bergamottide/admission/admission.cpp
+++ b/src/bergamottide/admission/admission.cpp
@@ -7,30 +7,28 @@
 
 namespace {
 
-/*! @brief Share of the deadline that may be spent waiting for the bottleneck while a burst lasts. */
+/*! @brief Share of the remaining time that a request may wait for its bottleneck stage during a burst. */
 constexpr double burstWaitShare = 0.6;
-/*! @brief The same under lasting saturation: a longer queue serves no more requests then, and lets a full early stage
- * keep out those with long stages behind it. */
-constexpr double lastingWaitShare = 0.3;
-/*! @brief Factor on estimated waits: they are a report old, and a request refused by the last stage wasted the others.
- */
-constexpr double waitReserve = 1.1;
-/*! @brief Part of that wait that work of the least value may not use while a burst lasts. */
+/*! @brief The same under sustained saturation, in which a longer queue doesn't increase the throughput. */
+constexpr double sustainedWaitShare = 0.3;
+/*! @brief Safety factor on estimated waits, since load reports are stale by up to one period. */
+constexpr double waitSafetyFactor = 1.1;
+/*! @brief Share of the allowed wait that is withheld from requests of the lowest value density during a burst. */
 constexpr double burstValueSpread = 0.5;
-/*! @brief The same under lasting saturation: it still gets what others leave free. */
-constexpr double lastingValueSpread = 0.95;
-/*! @brief Wait, as a share of the deadline, from which on a workspace counts as waiting for a pool. */
-constexpr double waitingShare = 0.03;
-/*! @brief Time between two requests let through although their service seems too long; else nobody would ever learn
- * that the stage has become fast again. One a second costs next to nothing. */
+/*! @brief The same under sustained saturation; below one, so that such requests still use idle capacity. */
+constexpr double sustainedValueSpread = 0.95;
+/*! @brief Wait, as a share of the remaining time, above which a workspace counts as queueing for a pool. */
+constexpr double queueingThreshold = 0.03;
+/*! @brief Interval of requests that are admitted although their estimated service time exceeds the deadline; without
+ * them the estimate could never recover after a slow period. */
 constexpr Duration probePeriod = std::chrono::seconds{1};
-/*! @brief Least time to come back: the next load report should have arrived by then. */
-constexpr Duration leastRetryAfter = std::chrono::milliseconds{250};
-/*! @brief Longest time to come back: bursts seldom last longer, and a caller should look again. */
-constexpr Duration longestRetryAfter = std::chrono::seconds{30};
+/*! @brief Lower bound of `retryAfter`; the next load report should have arrived by then. */
+constexpr Duration minRetryAfter = std::chrono::milliseconds{250};
+/*! @brief Upper bound of `retryAfter`; bursts seldom last longer. */
+constexpr Duration maxRetryAfter = std::chrono::seconds{30};
 
-/*! @brief Value per second of the endpoint time that a stage takes. */
-double densityOf(const AdmissionQuery &query, std::size_t stage)
+/*! @brief Returns the value per second of endpoint time of a stage. */
+double valueDensity(const AdmissionQuery &query, std::size_t stage)
 {
     const double seconds = std::chrono::duration<double>(query.costs[stage]).count();
     return query.kind.value / std::max(1e-6, seconds);
@@ -44,66 +42,67 @@
 {
 }
 
-AdmissionDecision Admission::judge(const AdmissionQuery &query, const Policy &policy, std::size_t entries,
+AdmissionDecision Admission::judge(const AdmissionQuery &query, const Policy &policy, std::size_t entryCount,
                                    TimePoint now)
 {
-    const AdmissionDecision limits = judgeLimits(query.workspace, now);
+    const AdmissionDecision limits = checkWorkspaceLimits(query.workspace, now);
     if (limits.reason != Reason::None) {
         return limits;
     }
-    countDemand(query, now);
+    recordDemand(query, now);
     const Duration service = std::accumulate(query.costs.begin(), query.costs.end(), Duration::zero());
-    const Duration usable = scaled(query.remaining, 1.0 / std::max(1e-6, policy.admissionMargin));
-    if (service >= usable) {
-        return judgeService(query, service, now);
+    const Duration usableTime = scaled(query.remaining, 1.0 / std::max(1e-6, policy.admissionMargin));
+    if (service >= usableTime) {
+        return probeOrRefuse(query, service, now);
     }
-    const Waits waits = estimateWaits(query, policy, entries, now);
-    const Duration needed = service + scaled(waits.total, waitReserve);
-    if (needed > usable) {
-        return {Reason::DeadlineUnreachable, std::clamp(needed - usable, leastRetryAfter, longestRetryAfter)};
+    const WaitEstimate waits = estimateWaits(query, policy, entryCount, now);
+    const Duration needed = service + scaled(waits.total, waitSafetyFactor);
+    if (needed > usableTime) {
+        return {Reason::DeadlineUnreachable, std::clamp(needed - usableTime, minRetryAfter, maxRetryAfter)};
     }
     const Duration allowed = allowedWait(query, waits, now);
     if (waits.longest > allowed) {
-        return {Reason::Overloaded, std::clamp(waits.longest - allowed, leastRetryAfter, longestRetryAfter)};
+        return {Reason::Overloaded, std::clamp(waits.longest - allowed, minRetryAfter, maxRetryAfter)};
     }
     return {};
 }
 
-// A queue that empties again soon is a burst, and worth its wait; one that has stood for a whole deadline is not.
-Duration Admission::allowedWait(const AdmissionQuery &query, const Waits &waits, TimePoint now)
+// The allowed wait shrinks while the queue persists, from a burst's share to that of sustained saturation after one
+// deadline.
+Duration Admission::allowedWait(const AdmissionQuery &query, const WaitEstimate &waits, TimePoint now)
 {
     const PoolName &pool = query.pipeline.stages[waits.bottleneck].pool;
     const PoolKey key{query.workspace.name.text(), pool.text()};
-    if (waits.longest <= scaled(query.remaining, waitingShare)) {
-        m_waitingSince.erase(key);
+    if (waits.longest <= scaled(query.remaining, queueingThreshold)) {
+        m_queueingSince.erase(key);
         return query.remaining;
     }
-    const TimePoint since = m_waitingSince.try_emplace(key, now).first->second;
-    const double lasting = std::min(1.0, std::chrono::duration<double>(now - since) / query.remaining);
-    const double share = burstWaitShare + lasting * (lastingWaitShare - burstWaitShare);
-    const double spread = burstValueSpread + lasting * (lastingValueSpread - burstValueSpread);
-    return scaled(query.remaining, share * (1.0 - spread * rankAt(query, waits.bottleneck)));
+    const TimePoint since = m_queueingSince.try_emplace(key, now).first->second;
+    const double sustained = std::min(1.0, std::chrono::duration<double>(now - since) / query.remaining);
+    const double share = burstWaitShare + sustained * (sustainedWaitShare - burstWaitShare);
+    const double spread = burstValueSpread + sustained * (sustainedValueSpread - burstValueSpread);
+    return scaled(query.remaining, share * (1.0 - spread * shareOfHigherValue(query, waits.bottleneck)));
 }
 
-void Admission::countDemand(const AdmissionQuery &query, TimePoint now)
+void Admission::recordDemand(const AdmissionQuery &query, TimePoint now)
 {
     for (std::size_t stage = 0; stage < query.costs.size(); ++stage) {
-        ValueDemand &demand = m_demand[query.pipeline.stages[stage].pool.text()];
-        demand.add(densityOf(query, stage), query.costs[stage], now);
+        DemandHistogram &demand = m_demand[query.pipeline.stages[stage].pool.text()];
+        demand.add(valueDensity(query, stage), query.costs[stage], now);
     }
 }
 
-// Share of the recent demand for the stage's pool that is worth more than this request.
-double Admission::rankAt(const AdmissionQuery &query, std::size_t stage)
+// Returns the share of the recent demand for the stage's pool that has a higher value density than the request.
+double Admission::shareOfHigherValue(const AdmissionQuery &query, std::size_t stage)
 {
-    return m_demand[query.pipeline.stages[stage].pool.text()].shareAbove(densityOf(query, stage));
+    return m_demand[query.pipeline.stages[stage].pool.text()].shareAbove(valueDensity(query, stage));
 }
 
-AdmissionDecision Admission::judgeLimits(const Workspace &workspace, TimePoint now)
+AdmissionDecision Admission::checkWorkspaceLimits(const Workspace &workspace, TimePoint now)
 {
     const auto inProgress = m_inProgress.find(workspace.name.text());
     if (inProgress != m_inProgress.end() && inProgress->second >= workspace.maxInProgress) {
-        return {Reason::RateLimited, leastRetryAfter};
+        return {Reason::RateLimited, minRetryAfter};
     }
     if (workspace.maxRate <= 0.0) {
         return {};
@@ -112,30 +111,30 @@
     return wait > Duration::zero() ? AdmissionDecision{Reason::RateLimited, wait} : AdmissionDecision{};
 }
 
-AdmissionDecision Admission::judgeService(const AdmissionQuery &query, Duration service, TimePoint now)
+AdmissionDecision Admission::probeOrRefuse(const AdmissionQuery &query, Duration service, TimePoint now)
 {
     TimePoint &next = m_nextProbe[KindKey{query.pipeline.name.text(), query.kind.name.text()}];
     if (now >= next) {
         next = now + probePeriod;
         return {};
     }
-    return {Reason::DeadlineUnreachable, std::clamp(service - query.remaining, leastRetryAfter, longestRetryAfter)};
+    return {Reason::DeadlineUnreachable, std::clamp(service - query.remaining, minRetryAfter, maxRetryAfter)};
 }
 
-Admission::Waits Admission::estimateWaits(const AdmissionQuery &query, const Policy &policy, std::size_t entries,
-                                          TimePoint now)
+Admission::WaitEstimate Admission::estimateWaits(const AdmissionQuery &query, const Policy &policy,
+                                                 std::size_t entryCount, TimePoint now)
 {
-    Waits waits;
+    WaitEstimate waits;
     for (std::size_t index = 0; index < query.pipeline.stages.size(); ++index) {
         const Stage &stage = query.pipeline.stages[index];
-        const PlacementQuery place{stage.pool, query.model, query.workspace.name, query.prefix, query.costs[index],
-                                   false,      {}};
-        const auto estimated = m_placement.estimateWait(place, policy, now);
+        const PlacementQuery placementQuery{
+            stage.pool, query.model, query.workspace.name, query.prefix, query.costs[index], false, {}};
+        const auto estimated = m_placement.estimateWait(placementQuery, policy, now);
         if (!estimated || *estimated <= policy.regionDistance) {
-            // No endpoint at all is for the stage itself to say; next to no wait needs no closer look.
+            // A missing endpoint is reported by the stage itself; a negligible wait needs no correction.
             continue;
         }
-        const Duration wait = *estimated + pendingWait(query, stage.pool, entries);
+        const Duration wait = *estimated + pendingWait(query, stage.pool, entryCount);
         waits.total += wait;
         if (wait > waits.longest) {
             waits.longest = wait;
@@ -145,9 +144,9 @@
     return waits;
 }
 
-// Requests in their early stages will reach the bottleneck within a report's age, and no report shows them yet. Without
-// them a burst would be admitted until its first requests arrive there.
-Duration Admission::pendingWait(const AdmissionQuery &query, const PoolName &pool, std::size_t entries) const
+// Returns the wait caused by admitted requests that have not reached the pool yet. Load reports don't include them, so
+// a burst would otherwise be admitted without limit until its first requests arrive there.
+Duration Admission::pendingWait(const AdmissionQuery &query, const PoolName &pool, std::size_t entryCount) const
 {
     const auto pending = m_pending.find(PoolKey{query.workspace.name.text(), pool.text()});
     const PoolEndpoints *endpoints = m_table.pool(pool);
@@ -158,7 +157,7 @@
     for (const EndpointSet &set : endpoints->all.available) {
         slots += set.slots();
     }
-    return pending->second * static_cast<std::int64_t>(entries) / std::max<std::int64_t>(1, slots);
+    return pending->second * static_cast<std::int64_t>(entryCount) / std::max<std::int64_t>(1, slots);
 }
 
 void Admission::admitted(const AdmissionQuery &query)
--- a/src/bergamottide/admission/admission.h
+++ b/src/bergamottide/admission/admission.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "bergamottide/admission/demandhistogram.h"
 #include "bergamottide/admission/tokenbucket.h"
-#include "bergamottide/admission/valuedemand.h"
 #include "bergamottide/config/document.h"
 #include "bergamottide/placement/placement.h"
 
@@ -13,13 +13,14 @@
 
 namespace bergamottide {
 
-/*! @brief A request that asks to be admitted. */
+/*! @brief Request to be admitted. */
 struct AdmissionQuery
 {
     const Workspace &workspace;
     const Pipeline &pipeline;
     const ModelName &model;
     const Kind &kind;
+    /*! @brief Hash of the prompt's prefix; zero if unknown. */
     std::uint64_t prefix{};
     /*! @brief Estimated service time of each stage. */
     absl::Span<const Duration> costs;
@@ -27,59 +28,54 @@
     Duration remaining{};
 };
 
-/*! @brief Whether a request is admitted, and when another try makes sense if not. */
+/*! @brief Whether a request is admitted, and after which time a refused one may be retried. */
 struct AdmissionDecision
 {
-    /*! @brief `None` when admitted. */
+    /*! @brief Reason of the refusal; `None` if the request is admitted. */
     Reason reason{};
     Duration retryAfter{};
 };
 
 /**
- * @brief Admits requests that can be completed in time, and refuses the others at once.
+ * @brief Admission control: refuses requests that are not expected to meet their deadline.
  *
- * Load: bursts of a partner that are many times its share, and saturation that lasts.
- * Harm prevented: requests that burn the early stages and then miss their deadline in the
- * queue of the bottleneck, and callers who learn that only when it is too late to turn to
- * anybody else. A request is refused when the service times and the waits of all its
- * stages exceed its deadline. The waits are those of its own workspace, as the fair queues
- * of the sides report them; so a burst is refused its excess while others notice nothing.
+ * A request is refused if the estimated service times and waits of all of its stages
+ * exceed its remaining time. The waits are those of its workspace, as reported from the
+ * endpoints' fair queues, so that a burst of one workspace doesn't affect the others.
  *
- * A burst may fill the queue of the bottleneck up to a good part of the deadline; under
- * lasting saturation the queue is kept shorter, so that requests with long stages behind a
- * full early one are not the first to be refused. Work of little value is refused first:
- * the wait it may use is the shorter, the more of the recent demand for that pool is worth
- * more per second of the pool's time. A workspace below its share does not wait, and so
- * loses nothing, whatever its value.
+ * The wait at the bottleneck stage is limited as well: to a large share of the remaining
+ * time during a burst, and to a smaller one under sustained saturation, so that a full
+ * early stage doesn't lock out requests with long later stages. Requests of low value are
+ * refused first: the limit decreases with the share of the pool's recent demand that has a
+ * higher value per second of endpoint time. A workspace below its fair share doesn't wait
+ * and is therefore not affected by its value.
  */
 class Admission
 {
 public:
-    /**
-     * @brief Creates an admission over a placement and its table, which must outlive it.
-     */
+    /*! @brief Creates an admission control; the placement and its table must outlive it. */
     Admission(Placement &placement, const EndpointTable &table);
 
     /**
-     * @brief Decides about a request.
+     * @brief Decides whether a request is admitted.
      * @param query Request.
-     * @param policy Limits in force.
-     * @param entries Entries in the view, which are taken to admit alike.
-     * @param now Present time.
+     * @param policy Current limits.
+     * @param entryCount Number of entries; each is assumed to admit the same load.
+     * @param now Current time.
      */
-    [[nodiscard]] AdmissionDecision judge(const AdmissionQuery &query, const Policy &policy, std::size_t entries,
+    [[nodiscard]] AdmissionDecision judge(const AdmissionQuery &query, const Policy &policy, std::size_t entryCount,
                                           TimePoint now);
 
-    /*! @brief Notes that a request was admitted. */
+    /*! @brief Records that a request was admitted. */
     void admitted(const AdmissionQuery &query);
-    /*! @brief Notes that an admitted request has ended. */
+    /*! @brief Records that an admitted request has ended. */
     void ended(const WorkspaceName &workspace);
-    /*! @brief Notes that a stage of an admitted request was dispatched, or never will be. */
+    /*! @brief Removes the cost of a stage that was dispatched, or will never be, from the pending cost of its pool. */
     void stageLeft(const WorkspaceName &workspace, const PoolName &pool, Duration cost);
 
 private:
-    /*! @brief Estimated waits of a request on its way through the stages. */
-    struct Waits
+    /*! @brief Estimated waits of a request in the queues of its stages. */
+    struct WaitEstimate
     {
         Duration total{};
         Duration longest{};
@@ -90,26 +86,27 @@
     using PoolKey = std::pair<std::string, std::string>;
     using KindKey = std::pair<std::string, std::string>;
 
-    [[nodiscard]] AdmissionDecision judgeLimits(const Workspace &workspace, TimePoint now);
-    [[nodiscard]] AdmissionDecision judgeService(const AdmissionQuery &query, Duration service, TimePoint now);
-    [[nodiscard]] Waits estimateWaits(const AdmissionQuery &query, const Policy &policy, std::size_t entries,
-                                      TimePoint now);
-    [[nodiscard]] Duration allowedWait(const AdmissionQuery &query, const Waits &waits, TimePoint now);
-    [[nodiscard]] double rankAt(const AdmissionQuery &query, std::size_t stage);
-    void countDemand(const AdmissionQuery &query, TimePoint now);
-    [[nodiscard]] Duration pendingWait(const AdmissionQuery &query, const PoolName &pool, std::size_t entries) const;
+    [[nodiscard]] AdmissionDecision checkWorkspaceLimits(const Workspace &workspace, TimePoint now);
+    /*! @brief Refuses a request whose estimated service time exceeds its deadline, except for a periodic probe. */
+    [[nodiscard]] AdmissionDecision probeOrRefuse(const AdmissionQuery &query, Duration service, TimePoint now);
+    [[nodiscard]] WaitEstimate estimateWaits(const AdmissionQuery &query, const Policy &policy, std::size_t entryCount,
+                                             TimePoint now);
+    [[nodiscard]] Duration allowedWait(const AdmissionQuery &query, const WaitEstimate &waits, TimePoint now);
+    [[nodiscard]] double shareOfHigherValue(const AdmissionQuery &query, std::size_t stage);
+    void recordDemand(const AdmissionQuery &query, TimePoint now);
+    [[nodiscard]] Duration pendingWait(const AdmissionQuery &query, const PoolName &pool, std::size_t entryCount) const;
 
     Placement &m_placement;
     const EndpointTable &m_table;
-    /*! @brief Recent demand of each pool, by value per second of its time. */
-    absl::flat_hash_map<std::string, ValueDemand> m_demand;
+    /*! @brief Recent demand for each pool by value density. */
+    absl::flat_hash_map<std::string, DemandHistogram> m_demand;
     absl::flat_hash_map<std::string, TokenBucket> m_rates;
     absl::flat_hash_map<std::string, std::uint32_t> m_inProgress;
-    /*! @brief Cost admitted and not yet dispatched, by workspace and pool. */
+    /*! @brief Cost of admitted stages that are not dispatched yet, by workspace and pool. */
     absl::flat_hash_map<PoolKey, Duration> m_pending;
-    /*! @brief Time since when a workspace has been waiting for a pool without a break. */
-    absl::flat_hash_map<PoolKey, TimePoint> m_waitingSince;
-    /*! @brief Time of the next request let through although its service seems too long, by pipeline and kind. */
+    /*! @brief Start of the continuous queueing of a workspace for a pool. */
+    absl::flat_hash_map<PoolKey, TimePoint> m_queueingSince;
+    /*! @brief Time from which the next probe is admitted, by pipeline and kind; see `probeOrRefuse`. */
     absl::flat_hash_map<KindKey, TimePoint> m_nextProbe;
 };
 
--- a/src/bergamottide/admission/valuedemand.h
+++ b/src/bergamottide/admission/demandhistogram.h
@@ -8,39 +8,38 @@
 namespace bergamottide {
 
 /**
- * @brief Recent demand by value per second of endpoint time.
+ * @brief Histogram of recent demand by value density, the value per second of endpoint time.
  *
- * Tells which share of the demand is worth more than a given request. The demand of the
- * past counts with a half-life of two seconds, which is shorter than a deadline, so that
- * the order of kinds follows a burst while it lasts.
+ * Demand decays exponentially; the half-life is shorter than typical deadlines, so that
+ * the histogram follows a burst while it lasts.
  */
-class ValueDemand
+class DemandHistogram
 {
 public:
     /**
-     * @brief Adds a request to the demand, whether or not it is admitted.
+     * @brief Adds the demand of a request, admitted or not.
      * @param density Value per second of endpoint time, above zero.
-     * @param cost Endpoint time.
-     * @param now Present time.
+     * @param cost Endpoint time of the request.
+     * @param now Current time.
      */
     void add(double density, Duration cost, TimePoint now);
 
     /**
-     * @brief Returns the share of the demand, in endpoint time, that is worth more.
+     * @brief Returns the share of the demand, in endpoint time, that has a higher density.
      * @param density Value per second of endpoint time, above zero.
-     * @return From 0 to 1; zero when nothing is known.
+     * @return From 0 to 1; zero without any demand.
      */
     [[nodiscard]] double shareAbove(double density) const noexcept;
 
 private:
-    /*! @brief Two buckets per doubling: kinds whose worth differs by less than half are alike. */
+    /*! @brief Buckets per histogram, two per doubling of the density. */
     static constexpr std::size_t bucketCount = 64;
 
     [[nodiscard]] static std::size_t bucketOf(double density) noexcept;
 
     std::array<double, bucketCount> m_demand{};
     double m_total{};
-    TimePoint m_decayed{};
+    TimePoint m_decayedAt{};
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/admission/tokenbucket.h
+++ b/src/bergamottide/admission/tokenbucket.h
@@ -6,23 +6,23 @@
 
 namespace bergamottide {
 
-/*! @brief Rate limit that lets a short burst through: a second's worth of requests, at least one. */
+/*! @brief Token bucket whose capacity is one second's worth of tokens, at least one. */
 class TokenBucket
 {
 public:
     /**
      * @brief Takes a token.
-     * @param rate Tokens per second, above zero; it may change from call to call.
-     * @param now Present time.
-     * @return Zero if there was one, else the time until there will be one.
+     * @param rate Tokens per second, above zero; may change between calls.
+     * @param now Current time.
+     * @return Zero if a token was available, else the time until the next one.
      */
     [[nodiscard]] Duration take(double rate, TimePoint now)
     {
         const double burst = std::max(1.0, rate);
-        const double passed = std::chrono::duration<double>(now - m_filled).count();
-        m_tokens = m_started ? std::min(burst, m_tokens + passed * rate) : burst;
-        m_started = true;
-        m_filled = now;
+        const double elapsed = std::chrono::duration<double>(now - m_refilledAt).count();
+        m_tokens = m_initialized ? std::min(burst, m_tokens + elapsed * rate) : burst;
+        m_initialized = true;
+        m_refilledAt = now;
         if (m_tokens >= 1.0) {
             m_tokens -= 1.0;
             return Duration::zero();
@@ -33,8 +33,8 @@
 
 private:
     double m_tokens{};
-    TimePoint m_filled{};
-    bool m_started{};
+    TimePoint m_refilledAt{};
+    bool m_initialized{};
 };
 
 } // namespace bergamottide
--- a/test/bergamottide/admission/admission.cpp
+++ b/test/bergamottide/admission/admission.cpp
@@ -11,13 +11,13 @@
 class AdmissionTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(AdmissionTest);
-    CPPUNIT_TEST(admitWhatCanBeDoneInTime);
-    CPPUNIT_TEST(refuseAtOnceWhatCannotWithTimeToComeBack);
-    CPPUNIT_TEST(refuseBurstWithoutTouchingOthers);
-    CPPUNIT_TEST(refuseLittleValueFirst);
-    CPPUNIT_TEST(letProbeThroughWhenServiceSeemsTooLong);
-    CPPUNIT_TEST(countWorkOnItsWayToTheBottleneck);
-    CPPUNIT_TEST(holdRateAndRequestsInProgress);
+    CPPUNIT_TEST(admitsFeasibleRequest);
+    CPPUNIT_TEST(refusesInfeasibleRequestWithRetryAfter);
+    CPPUNIT_TEST(burstDoesNotAffectOtherWorkspaces);
+    CPPUNIT_TEST(refusesLowestValueDensityFirst);
+    CPPUNIT_TEST(admitsProbeWhenServiceEstimateExceedsDeadline);
+    CPPUNIT_TEST(countsPendingCostOfAdmittedRequests);
+    CPPUNIT_TEST(enforcesRateAndConcurrencyLimits);
     CPPUNIT_TEST_SUITE_END();
 
     EndpointTable m_table{RegionName{"west"}, ZoneName{"a"}};
@@ -45,7 +45,7 @@
         m_admission.admitted(query);
     }
 
-    /*! @brief The one endpoint reports a wait for `north`, and none for anybody else. */
+    /*! @brief Applies a load report with a wait of workspace `north` only. */
     void report(Duration wait)
     {
         LoadReport load{.queued = 8, .running = 8, .concurrency = 8};
@@ -68,13 +68,13 @@
         m_table.setConnected(instance.name, true);
     }
 
-    void admitWhatCanBeDoneInTime()
+    void admitsFeasibleRequest()
     {
         report(seconds{2});
         CPPUNIT_ASSERT(judge(m_north).reason == Reason::None);
     }
 
-    void refuseAtOnceWhatCannotWithTimeToComeBack()
+    void refusesInfeasibleRequestWithRetryAfter()
     {
         report(seconds{20});
         const AdmissionDecision decision = judge(m_north);
@@ -82,14 +82,14 @@
         CPPUNIT_ASSERT(decision.retryAfter >= seconds{10} && decision.retryAfter <= seconds{30});
     }
 
-    void refuseBurstWithoutTouchingOthers()
+    void burstDoesNotAffectOtherWorkspaces()
     {
         report(seconds{20});
         CPPUNIT_ASSERT(judge(m_north).reason != Reason::None);
         CPPUNIT_ASSERT(judge(m_south).reason == Reason::None);
     }
 
-    void refuseLittleValueFirst()
+    void refusesLowestValueDensityFirst()
     {
         report(seconds{4});
         for (int request = 0; request < 20; ++request) {
@@ -100,7 +100,7 @@
         CPPUNIT_ASSERT(judge(m_south, 0.3).reason == Reason::None);
     }
 
-    void letProbeThroughWhenServiceSeemsTooLong()
+    void admitsProbeWhenServiceEstimateExceedsDeadline()
     {
         m_costs = {seconds{20}};
         CPPUNIT_ASSERT(judge(m_north).reason == Reason::None);
@@ -109,7 +109,7 @@
         CPPUNIT_ASSERT(judge(m_north).reason == Reason::None);
     }
 
-    void countWorkOnItsWayToTheBottleneck()
+    void countsPendingCostOfAdmittedRequests()
     {
         report(seconds{2});
         for (int request = 0; request < 100; ++request) {
@@ -122,7 +122,7 @@
         CPPUNIT_ASSERT(judge(m_north).reason == Reason::None);
     }
 
-    void holdRateAndRequestsInProgress()
+    void enforcesRateAndConcurrencyLimits()
     {
         m_north.maxRate = 2.0;
         CPPUNIT_ASSERT(judge(m_north).reason == Reason::None);
