--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -7,14 +7,14 @@
 
 /**
  * @file
- * @brief Cost of one placement, of one load report and of one review, by the number of endpoints.
+ * @brief Times of a placement, of applying a load report and of a review by the ejector, by the number of endpoints.
  */
 
 namespace {
 
 using namespace bergamottide;
 
-/*! @brief A pool of engines over 31 availability zones, all connected and reporting. */
+/*! @brief Pool of engines in 31 availability zones; all are connected and have sent a load report. */
 struct Fleet
 {
     explicit Fleet(std::uint32_t endpoints)
@@ -68,10 +68,10 @@
 void takeReport(benchmark::State &state)
 {
     Fleet fleet{static_cast<std::uint32_t>(state.range(0))};
-    const InstanceName side{"engine-0"};
+    const InstanceName sidecar{"engine-0"};
     for (auto step : state) {
         fleet.report.running = (fleet.report.running + 1) % 8;
-        fleet.table.applyReport(side, fleet.report, fleet.now);
+        fleet.table.applyReport(sidecar, fleet.report, fleet.now);
     }
 }
 
--- a/src/bergamottide/placement/affinitymap.cpp
+++ b/src/bergamottide/placement/affinitymap.cpp
@@ -22,11 +22,11 @@
     m_buckets.resize(bucketCount);
     for (std::size_t index = 0; index < bucketCount; ++index) {
         Bucket &bucket = m_buckets[index];
-        const std::uint64_t own = score(index, hash);
-        if (bucket.taken && bucket.score >= own) {
+        const std::uint64_t memberScore = score(index, hash);
+        if (bucket.taken && bucket.score >= memberScore) {
             continue;
         }
-        bucket = {number, own, true};
+        bucket = {number, memberScore, true};
     }
 }
 
@@ -52,11 +52,11 @@
 {
     m_buckets[bucket] = {};
     for (const Member &member : m_members) {
-        const std::uint64_t own = score(bucket, member.hash);
-        if (m_buckets[bucket].taken && m_buckets[bucket].score >= own) {
+        const std::uint64_t memberScore = score(bucket, member.hash);
+        if (m_buckets[bucket].taken && m_buckets[bucket].score >= memberScore) {
             continue;
         }
-        m_buckets[bucket] = {member.number, own, true};
+        m_buckets[bucket] = {member.number, memberScore, true};
     }
 }
 
--- a/src/bergamottide/placement/affinitymap.h
+++ b/src/bergamottide/placement/affinitymap.h
@@ -8,28 +8,28 @@
 namespace bergamottide {
 
 /**
- * @brief Rendezvous hashing of keys over a changing set of endpoints, in constant time per look-up.
+ * @brief Rendezvous hashing of keys to endpoints with look-ups in constant time.
  *
- * Keys fall into a fixed number of buckets; each bucket belongs to the member with the
- * highest hash for it. Adding a member looks at each bucket once, removing one recomputes
- * only the buckets it had. The result depends on the set alone, not on the order of changes,
- * so two entries with the same set agree.
+ * Keys are hashed to a fixed number of buckets; each bucket is assigned to the member with
+ * the highest score for it. Adding a member visits each bucket once, removing one only
+ * recomputes the buckets assigned to it. The assignment depends on the set of members and
+ * not on the order of changes, so that entries with the same set agree.
  */
 class AffinityMap
 {
 public:
-    /*! @brief Number of buckets: eight for each endpoint of the largest zone (129), so that shares differ little. */
+    /*! @brief Number of buckets; several per endpoint of a large zone keep the distribution even. */
     static constexpr std::size_t bucketCount = 1024;
 
-    /*! @brief Adds a member that is not in the set. */
+    /*! @brief Adds an endpoint that is not a member yet. */
     void add(EndpointNumber number, std::uint64_t hash);
-    /*! @brief Removes a member; one that is not in the set changes nothing. */
+    /*! @brief Removes an endpoint; does nothing if it is not a member. */
     void remove(EndpointNumber number);
 
     /**
-     * @brief Finds the member of a key.
+     * @brief Returns the member that a key is assigned to.
      * @param key Hash of a prompt's prefix.
-     * @return The member, or nothing if the set is empty.
+     * @return Member, or nothing if there are none.
      */
     [[nodiscard]] std::optional<EndpointNumber> find(std::uint64_t key) const;
 
--- a/src/bergamottide/placement/ejector.cpp
+++ b/src/bergamottide/placement/ejector.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-/*! @brief Weight of a new observation: about the last five decide, so that a bad endpoint is out within a second. */
-constexpr double newest = 0.2;
-/*! @brief Own observations below which an endpoint is judged by its side's reports. */
-constexpr std::uint32_t enoughSamples = 5;
-/*! @brief Largest ratio that counts: one hanging run must not outweigh twenty good ones. */
-constexpr double largestRatio = 20.0;
-/*! @brief Failure share of the peers above which failures say nothing about one endpoint. */
-constexpr double peersFailing = 0.5;
-/*! @brief Doublings of the time out of service at most: a repaired endpoint is back within a few minutes. */
+/*! @brief Weight of a new sample in the moving averages; averages over about the last five. */
+constexpr double sampleWeight = 0.2;
+/*! @brief Own samples below which the sidecar's load report is used instead. */
+constexpr std::uint32_t minOwnSamples = 5;
+/*! @brief Upper bound of a slowness sample; limits the effect of a single hanging run. */
+constexpr double maxSlownessSample = 20.0;
+/*! @brief Median failure share above which no endpoint is ejected for failures, since the cause is a common one. */
+constexpr double maxMedianFailureShare = 0.5;
+/*! @brief Limits the exponential growth of the ejection time. */
 constexpr std::uint32_t maxDoublings = 5;
-/*! @brief Rounding of the cap: a third of three endpoints, written as 0.33, is one. */
+/*! @brief Added before rounding down, so that a cap of 0.33 allows one of three endpoints to be ejected. */
 constexpr double capRounding = 0.05;
 
 double median(std::vector<double> values)
@@ -30,15 +30,15 @@
     return *middle;
 }
 
-void blend(double &average, double value)
+void updateAverage(double &average, double value)
 {
-    average += newest * (value - average);
+    average += sampleWeight * (value - average);
 }
 
-double ratioOf(Duration service, Duration cost)
+double slownessOf(Duration service, Duration cost)
 {
     const auto expected = static_cast<double>(std::max<std::int64_t>(1, cost.count()));
-    return std::min(largestRatio, static_cast<double>(service.count()) / expected);
+    return std::min(maxSlownessSample, static_cast<double>(service.count()) / expected);
 }
 
 } // namespace
@@ -51,36 +51,36 @@
 void Ejector::completed(EndpointNumber number, Duration cost, Duration service)
 {
     if (m_table.endpoint(number).ejection == EjectionState::Trial) {
-        decideTrial(number, true);
+        finishTrial(number, true);
     }
     OwnObservations &observed = m_table.observations(number);
-    blend(observed.slowness, ratioOf(service, cost));
-    blend(observed.failureShare, 0.0);
+    updateAverage(observed.slowness, slownessOf(service, cost));
+    updateAverage(observed.failureShare, 0.0);
     ++observed.samples;
 }
 
 void Ejector::failed(EndpointNumber number)
 {
     if (m_table.endpoint(number).ejection == EjectionState::Trial) {
-        decideTrial(number, false);
+        finishTrial(number, false);
     }
     OwnObservations &observed = m_table.observations(number);
-    blend(observed.failureShare, 1.0);
+    updateAverage(observed.failureShare, 1.0);
     ++observed.samples;
 }
 
 void Ejector::abandoned(EndpointNumber number, Duration cost, Duration elapsed)
 {
     OwnObservations &observed = m_table.observations(number);
-    const double ratio = ratioOf(elapsed, cost);
+    const double ratio = slownessOf(elapsed, cost);
     if (ratio <= observed.slowness) {
         trialUndecided(number);
         return;
     }
     if (m_table.endpoint(number).ejection == EjectionState::Trial) {
-        decideTrial(number, false);
+        finishTrial(number, false);
     }
-    blend(observed.slowness, ratio);
+    updateAverage(observed.slowness, ratio);
     ++observed.samples;
 }
 
@@ -92,11 +92,12 @@
     }
 }
 
-// The verdict on a bad trial is carried out by the next review, which knows policy and time.
-void Ejector::decideTrial(EndpointNumber number, bool good)
+// A failed trial is marked by an empty `ejectedUntil`; the next review ejects the endpoint again, since the duration
+// depends on the policy.
+void Ejector::finishTrial(EndpointNumber number, bool succeeded)
 {
     const Endpoint &endpoint = m_table.endpoint(number);
-    if (!good) {
+    if (!succeeded) {
         m_table.setEjection(number, EjectionState::Ejected, TimePoint{});
         return;
     }
@@ -106,13 +107,14 @@
     m_changes.push_back({endpoint.name, endpoint.pool, false, "trial run completed"});
 }
 
-Ejector::Standing Ejector::standingOf(const Endpoint &endpoint, double peersPerUnit) const
+Ejector::Performance Ejector::performanceOf(const Endpoint &endpoint, double medianServicePerUnit) const
 {
-    if (endpoint.observed.samples >= enoughSamples) {
+    if (endpoint.observed.samples >= minOwnSamples) {
         return {endpoint.observed.slowness, endpoint.observed.failureShare};
     }
-    const bool reported = endpoint.reported.known && peersPerUnit > 0.0 && endpoint.reported.servicePerUnit > 0.0;
-    const double slowness = reported ? endpoint.reported.servicePerUnit / peersPerUnit : 1.0;
+    const bool reported =
+        endpoint.reported.known && medianServicePerUnit > 0.0 && endpoint.reported.servicePerUnit > 0.0;
+    const double slowness = reported ? endpoint.reported.servicePerUnit / medianServicePerUnit : 1.0;
     return {slowness, endpoint.reported.failureShare};
 }
 
@@ -126,26 +128,26 @@
 
 void Ejector::reviewPool(const PoolEndpoints &pool, const Policy &policy, TimePoint now)
 {
-    std::vector<double> perUnit;
+    std::vector<double> servicePerUnits;
     for (const EndpointNumber number : pool.listed) {
         const Endpoint &endpoint = m_table.endpoint(number);
         if (endpoint.reported.known && endpoint.reported.servicePerUnit > 0.0) {
-            perUnit.push_back(endpoint.reported.servicePerUnit);
+            servicePerUnits.push_back(endpoint.reported.servicePerUnit);
         }
     }
-    const double peersPerUnit = median(perUnit);
+    const double medianServicePerUnit = median(servicePerUnits);
     std::vector<double> slowness;
     std::vector<double> failures;
-    std::size_t out = 0;
+    std::size_t ejectedCount = 0;
     for (const EndpointNumber number : pool.listed) {
-        const Standing standing = standingOf(m_table.endpoint(number), peersPerUnit);
-        slowness.push_back(standing.slowness);
-        failures.push_back(standing.failureShare);
-        out += m_table.endpoint(number).ejection == EjectionState::InService ? 0 : 1;
+        const Performance performance = performanceOf(m_table.endpoint(number), medianServicePerUnit);
+        slowness.push_back(performance.slowness);
+        failures.push_back(performance.failureShare);
+        ejectedCount += m_table.endpoint(number).ejection == EjectionState::InService ? 0 : 1;
     }
-    const double typical = std::max(1e-6, median(slowness));
-    const bool allFail = median(failures) > peersFailing;
-    const auto cap =
+    const double medianSlowness = std::max(1e-6, median(slowness));
+    const bool mostFail = median(failures) > maxMedianFailureShare;
+    const auto maxEjected =
         static_cast<std::size_t>(policy.ejectionCap * static_cast<double>(pool.listed.size()) + capRounding);
     const std::vector<EndpointNumber> listed = pool.listed;
     for (const EndpointNumber number : listed) {
@@ -158,15 +160,15 @@
             m_table.setEjection(number, EjectionState::HalfOpen, now);
             continue;
         }
-        if (endpoint.ejection != EjectionState::InService || out >= cap) {
+        if (endpoint.ejection != EjectionState::InService || ejectedCount >= maxEjected) {
             continue;
         }
-        const Standing standing = standingOf(endpoint, peersPerUnit);
-        const bool failing = !allFail && standing.failureShare > policy.ejectionFailures;
-        const bool slow = standing.slowness > policy.ejectionFactor * typical;
+        const Performance performance = performanceOf(endpoint, medianServicePerUnit);
+        const bool failing = !mostFail && performance.failureShare > policy.ejectionFailures;
+        const bool slow = performance.slowness > policy.ejectionFactor * medianSlowness;
         if (failing || slow) {
             eject(number, policy, now, failing ? "fails more than its peers" : "slower than its peers");
-            ++out;
+            ++ejectedCount;
         }
     }
 }
--- a/src/bergamottide/placement/ejector.h
+++ b/src/bergamottide/placement/ejector.h
@@ -8,71 +8,70 @@
 
 namespace bergamottide {
 
-/*! @brief An endpoint was taken out of service, or came back. */
+/*! @brief Endpoint that was ejected or returned to service. */
 struct EjectionChange
 {
     InstanceName endpoint;
     PoolName pool;
     bool ejected{};
-    /*! @brief The rule behind it. */
+    /*! @brief Reason, for logs. */
     std::string cause;
 };
 
 /**
- * @brief Takes endpoints out of service that are worse than their peers.
+ * @brief Outlier detection: ejects endpoints that are slower or fail more often than the others of their pool.
  *
- * Load: one endpoint ten times slower, one that answers errors fast and so looks idle, one
- * that flaps. Harm prevented: a share of all requests that ends late or fails while good
- * endpoints stand by. Endpoints are compared with their peers and not with a fixed bound,
- * since an overload or a fault behind all of them makes all slow, and ejecting then only
- * adds to it. At most `ejectionCap` of a pool is out at once, for the same reason. An
- * ejected endpoint gets one trial run after `ejectionTime`; a bad trial doubles the time,
- * so that a flapping one costs less and less.
+ * Endpoints are compared with the median of their pool instead of a fixed bound, since an
+ * overload or a fault that affects the whole pool must not eject its endpoints. For the
+ * same reason at most a share of `ejectionCap` of a pool is ejected at a time. After
+ * `ejectionTime` an ejected endpoint becomes half-open and gets one trial run, as with a
+ * circuit breaker; each failed trial doubles the time.
  */
 class Ejector
 {
 public:
-    /*! @brief Creates an ejector over a table, which must outlive it. */
+    /*! @brief Creates an ejector for the endpoints of a table, which must outlive it. */
     explicit Ejector(EndpointTable &table);
 
     /**
-     * @brief Learns from a run that the endpoint completed.
-     * @param cost Service time that was estimated.
-     * @param service Service time that was measured.
+     * @brief Records a completed run.
+     * @param cost Estimated service time.
+     * @param service Measured service time.
      */
     void completed(EndpointNumber number, Duration cost, Duration service);
 
-    /*! @brief Learns from a run that the endpoint failed or left unanswered. */
+    /*! @brief Records a run that failed or was not answered. */
     void failed(EndpointNumber number);
 
     /**
-     * @brief Learns from a run that was given up while the endpoint worked on it.
-     * @param elapsed Time since it began; a lower bound of its service time.
+     * @brief Records a run that was cancelled while the endpoint worked on it.
+     * @param cost Estimated service time.
+     * @param elapsed Time since the run started; a lower bound of its service time.
      */
     void abandoned(EndpointNumber number, Duration cost, Duration elapsed);
 
-    /*! @brief Notes that the trial run of an endpoint ended without saying anything about it. */
+    /*! @brief Makes an endpoint half-open again after a trial run that ended without a result. */
     void trialUndecided(EndpointNumber number);
 
     /**
      * @brief Compares all endpoints with their peers; to be called once per `reportPeriod`.
-     * @param policy Limits in force.
-     * @param now Present time.
-     * @return What has changed since the last call, with the verdicts of trials in between.
+     * @param policy Current limits.
+     * @param now Current time.
+     * @return Changes since the last call, including the results of trial runs.
      */
     [[nodiscard]] std::vector<EjectionChange> review(const Policy &policy, TimePoint now);
 
 private:
-    struct Standing
+    struct Performance
     {
         double slowness{};
         double failureShare{};
     };
 
-    [[nodiscard]] Standing standingOf(const Endpoint &endpoint, double peersPerUnit) const;
+    [[nodiscard]] Performance performanceOf(const Endpoint &endpoint, double medianServicePerUnit) const;
     void reviewPool(const PoolEndpoints &pool, const Policy &policy, TimePoint now);
     void eject(EndpointNumber number, const Policy &policy, TimePoint now, const char *cause);
-    void decideTrial(EndpointNumber number, bool good);
+    void finishTrial(EndpointNumber number, bool succeeded);
 
     EndpointTable &m_table;
     std::vector<EjectionChange> m_changes;
--- a/src/bergamottide/placement/endpoint.h
+++ b/src/bergamottide/placement/endpoint.h
@@ -11,17 +11,17 @@
 
 namespace bergamottide {
 
-/*! @brief Dense number of an endpoint within one placement table. */
+/*! @brief Index of an endpoint in its `EndpointTable`. */
 using EndpointNumber = std::uint32_t;
-/*! @brief Dense number of a workspace within one placement table. */
+/*! @brief Index of a workspace in its `EndpointTable`. */
 using WorkspaceNumber = std::uint32_t;
 
-/*! @brief How far an endpoint is from the entry; nearer ones are looked at first. */
+/*! @brief Distance of an endpoint from this entry; nearer endpoints are preferred. */
 enum class Tier : std::uint8_t
 {
     OwnZone,
     OwnRegion,
-    Elsewhere
+    OtherRegion
 };
 
 template <>
@@ -30,17 +30,16 @@
     static constexpr std::array<std::string_view, 3> names{"own_zone", "own_region", "elsewhere"};
 };
 
-/*! @brief Number of tiers. */
 inline constexpr std::size_t tierCount = EnumNames<Tier>::names.size();
 
-/*! @brief Whether an endpoint was taken out of service by comparison with its peers. */
+/*! @brief Circuit breaker state of an endpoint; see `Ejector`. */
 enum class EjectionState : std::uint8_t
 {
     InService,
     Ejected,
-    /*! @brief Half-open: may be given one trial run. */
+    /*! @brief May be given one trial run. */
     HalfOpen,
-    /*! @brief The trial run is on its way. */
+    /*! @brief The trial run is in progress. */
     Trial
 };
 
@@ -50,7 +49,7 @@
     static constexpr std::array<std::string_view, 4> names{"in_service", "ejected", "half_open", "trial"};
 };
 
-/*! @brief Load of an endpoint as its side last reported it. */
+/*! @brief Load of an endpoint from the latest report of its sidecar. */
 struct ReportedLoad
 {
     TimePoint at{};
@@ -58,61 +57,61 @@
     std::uint32_t inProgress{};
     std::uint32_t concurrency{1};
     Duration wait{};
-    /*! @brief Waits of workspaces with runs queued, ordered by number. */
+    /*! @brief Estimated waits of the workspaces that have queued runs, sorted by number. */
     std::vector<std::pair<WorkspaceNumber, Duration>> waits;
     double servicePerUnit{};
     double failureShare{};
 };
 
-/*! @brief Load that this entry itself has put on an endpoint. */
+/*! @brief Load that this entry has sent to an endpoint. */
 struct OwnLoad
 {
-    /*! @brief Runs sent and not ended. */
+    /*! @brief Runs sent that have not ended. */
     std::uint32_t outstanding{};
     Duration outstandingCost{};
-    /*! @brief Runs sent since the last report, which does not count them yet. */
-    std::uint32_t sinceReport{};
+    /*! @brief Runs sent since the latest report, which doesn't include them. */
+    std::uint32_t runsSinceReport{};
     Duration costSinceReport{};
 };
 
-/*! @brief What this entry's own runs say about an endpoint. */
+/*! @brief Moving averages over the runs that this entry sent to an endpoint. */
 struct OwnObservations
 {
-    /*! @brief Smoothed service time relative to the estimate; 1 is as expected. */
+    /*! @brief Service time divided by its estimate; 1 is as expected. */
     double slowness{1.0};
-    /*! @brief Smoothed share of failed runs. */
+    /*! @brief Share of failed runs. */
     double failureShare{};
     std::uint32_t samples{};
 };
 
-/*! @brief One endpoint with its side, as an entry knows it. */
+/*! @brief State of an endpoint and its sidecar, as known to this entry. */
 struct Endpoint
 {
     InstanceName name;
     PoolName pool;
     Tier tier{};
-    /*! @brief Position-independent hash of the name, for rendezvous. */
+    /*! @brief Hash of the name, for rendezvous hashing. */
     std::uint64_t hash{};
     bool listed{};
     bool leaving{};
     bool connected{};
     bool draining{};
-    /*! @brief Its stream has gone silent. */
+    /*! @brief The stream to the sidecar is open, but nothing is received. */
     bool silent{};
     EjectionState ejection{};
     TimePoint ejectedUntil{};
-    /*! @brief Ejections without a good trial in between; each doubles the time out of service. */
+    /*! @brief Consecutive ejections without a successful trial run; each doubles the ejection time. */
     std::uint32_t ejections{};
     std::vector<ModelName> models;
     ReportedLoad reported;
     OwnLoad own;
     OwnObservations observed;
-    /*! @brief Load in thousandths of its concurrency, as the sums of its groups count it. */
+    /*! @brief Load in thousandths of the concurrency, as included in the sums of the endpoint's groups. */
     std::int64_t load{};
-    /*! @brief Concurrency, as the sums of its groups count it. */
+    /*! @brief Concurrency, as included in the sums of the endpoint's groups. */
     std::int64_t slots{1};
 
-    /*! @brief Tells if new work may go to it. */
+    /*! @brief Returns whether new runs may be sent to the endpoint. */
     [[nodiscard]] bool available() const noexcept
     {
         const bool inService = ejection == EjectionState::InService || ejection == EjectionState::HalfOpen;
--- a/src/bergamottide/placement/endpointgroup.h
+++ b/src/bergamottide/placement/endpointgroup.h
@@ -7,21 +7,21 @@
 
 namespace bergamottide {
 
-/*! @brief Endpoints that can do the same work, by distance. */
+/*! @brief Available endpoints that can serve the same runs, by tier. */
 struct EndpointGroup
 {
-    /*! @brief Endpoints that may be given new work. */
+    /*! @brief Available endpoints, indexed by tier. */
     std::array<EndpointSet, tierCount> available;
-    /*! @brief Rendezvous over the available endpoints of the own zone, for cache affinity. */
-    AffinityMap affine;
+    /*! @brief Maps prompt prefixes to the available endpoints of the own zone, for prefix cache affinity. */
+    AffinityMap affinity;
 
-    /*! @brief Returns the set of a tier. */
+    /*! @brief Returns the available endpoints of a tier. */
     [[nodiscard]] const EndpointSet &at(Tier tier) const noexcept
     {
         return available[static_cast<std::size_t>(tier)];
     }
 
-    /*! @brief Tells if no endpoint is available. */
+    /*! @brief Returns whether no endpoint is available. */
     [[nodiscard]] bool empty() const noexcept
     {
         for (const EndpointSet &set : available) {
@@ -37,7 +37,7 @@
     {
         available[static_cast<std::size_t>(endpoint.tier)].add(endpoint, number);
         if (endpoint.tier == Tier::OwnZone) {
-            affine.add(number, endpoint.hash);
+            affinity.add(number, endpoint.hash);
         }
     }
 
@@ -46,7 +46,7 @@
     {
         available[static_cast<std::size_t>(endpoint.tier)].remove(endpoint, number);
         if (endpoint.tier == Tier::OwnZone) {
-            affine.remove(number);
+            affinity.remove(number);
         }
     }
 };
--- a/src/bergamottide/placement/endpointset.h
+++ b/src/bergamottide/placement/endpointset.h
@@ -9,9 +9,9 @@
 namespace bergamottide {
 
 /**
- * @brief Set of endpoints that is drawn from at random and keeps the sum of its loads.
+ * @brief Set of endpoints with random access and the sums of their loads and concurrencies.
  *
- * Adding, removing, drawing and changing a load take constant time.
+ * All operations take constant time.
  */
 class EndpointSet
 {
@@ -25,7 +25,7 @@
         m_slots += endpoint.slots;
     }
 
-    /*! @brief Removes an endpoint; one that is not in the set changes nothing. */
+    /*! @brief Removes an endpoint; does nothing if it is not in the set. */
     void remove(const Endpoint &endpoint, EndpointNumber number)
     {
         const auto found = m_positions.find(number);
@@ -44,26 +44,26 @@
         }
     }
 
-    /*! @brief Notes by how much the load and the concurrency of a member have grown. */
+    /*! @brief Adds the changes of a member's load and concurrency to the sums. */
     void changeLoad(std::int64_t load, std::int64_t slots) noexcept
     {
         m_load += load;
         m_slots += slots;
     }
 
-    /*! @brief Returns the runs that the members work on at once. */
+    /*! @brief Returns the sum of the members' concurrencies. */
     [[nodiscard]] std::int64_t slots() const noexcept
     {
         return m_slots;
     }
 
-    /*! @brief Returns the average load of the members, in thousandths of their concurrency. */
+    /*! @brief Returns the mean load of the members, in thousandths of their concurrency. */
     [[nodiscard]] std::int64_t averageLoad() const noexcept
     {
         return m_members.empty() ? 0 : m_load / static_cast<std::int64_t>(m_members.size());
     }
 
-    /*! @brief Returns the member at a position below `size`. */
+    /*! @brief Returns the member at a position, which must be below `size()`. */
     [[nodiscard]] EndpointNumber operator[](std::size_t position) const noexcept
     {
         return m_members[position];
--- a/src/bergamottide/placement/endpointtable.cpp
+++ b/src/bergamottide/placement/endpointtable.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/*! @brief Loads are kept as whole thousandths, so that sums never drift. */
-constexpr std::int64_t loadUnit = 1000;
+/*! @brief Loads are stored as integer thousandths, so that the sums stay exact. */
+constexpr std::int64_t loadScale = 1000;
 
 std::int64_t loadOf(const Endpoint &endpoint)
 {
-    const auto runs = std::max(endpoint.reported.inProgress + endpoint.own.sinceReport, endpoint.own.outstanding);
-    return loadUnit * runs / std::max<std::int64_t>(1, endpoint.reported.concurrency);
+    const auto runs = std::max(endpoint.reported.inProgress + endpoint.own.runsSinceReport, endpoint.own.outstanding);
+    return loadScale * runs / std::max<std::int64_t>(1, endpoint.reported.concurrency);
 }
 
 } // namespace
@@ -29,7 +29,7 @@
 }
 
 template <typename Visit>
-void EndpointTable::forGroups(const Endpoint &endpoint, Visit &&visit)
+void EndpointTable::forEachGroup(const Endpoint &endpoint, Visit &&visit)
 {
     PoolEndpoints &pool = m_pools[endpoint.pool];
     visit(pool.all);
@@ -41,29 +41,28 @@
     }
 }
 
-// Takes an endpoint out of its groups, changes it and puts it back where it belongs by then. A change that leaves it
-// where it was costs two set operations; reports that change nothing do not come this way.
+// Removes an endpoint from its groups, changes it and adds it to the groups that it then belongs to.
 template <typename Change>
-void EndpointTable::change(EndpointNumber number, Change &&apply)
+void EndpointTable::update(EndpointNumber number, Change &&apply)
 {
     Endpoint &endpoint = m_endpoints[number];
-    const bool before = endpoint.available();
-    if (before) {
-        forGroups(endpoint, [&](EndpointGroup &group) { group.remove(endpoint, number); });
+    const bool wasAvailable = endpoint.available();
+    if (wasAvailable) {
+        forEachGroup(endpoint, [&](EndpointGroup &group) { group.remove(endpoint, number); });
     }
     apply(endpoint);
     if (endpoint.available()) {
-        forGroups(endpoint, [&](EndpointGroup &group) { group.add(endpoint, number); });
+        forEachGroup(endpoint, [&](EndpointGroup &group) { group.add(endpoint, number); });
     }
 }
 
-EndpointNumber EndpointTable::numberOf(const InstanceName &side)
+EndpointNumber EndpointTable::numberOf(const InstanceName &sidecar)
 {
-    const auto [found, added] = m_numbers.try_emplace(side.text(), static_cast<EndpointNumber>(m_endpoints.size()));
+    const auto [found, added] = m_numbers.try_emplace(sidecar.text(), static_cast<EndpointNumber>(m_endpoints.size()));
     if (added) {
         Endpoint &endpoint = m_endpoints.emplace_back();
-        endpoint.name = side;
-        endpoint.hash = XXH3_64bits(side.text().data(), side.text().size());
+        endpoint.name = sidecar;
+        endpoint.hash = XXH3_64bits(sidecar.text().data(), sidecar.text().size());
     }
     return found->second;
 }
@@ -71,17 +70,17 @@
 Tier EndpointTable::tierOf(const Instance &instance) const
 {
     if (instance.region != m_region) {
-        return Tier::Elsewhere;
+        return Tier::OtherRegion;
     }
     return instance.zone == m_zone ? Tier::OwnZone : Tier::OwnRegion;
 }
 
-void EndpointTable::list(EndpointNumber number)
+void EndpointTable::addToPool(EndpointNumber number)
 {
     m_pools[m_endpoints[number].pool].listed.push_back(number);
 }
 
-void EndpointTable::unlist(EndpointNumber number)
+void EndpointTable::removeFromPool(EndpointNumber number)
 {
     std::vector<EndpointNumber> &listed = m_pools[m_endpoints[number].pool].listed;
     listed.erase(std::remove(listed.begin(), listed.end(), number), listed.end());
@@ -98,16 +97,16 @@
         return;
     }
     if (wasListed && moved) {
-        unlist(number);
+        removeFromPool(number);
     }
-    change(number, [&](Endpoint &endpoint) {
+    update(number, [&](Endpoint &endpoint) {
         endpoint.pool = instance.pool;
         endpoint.tier = tier;
         endpoint.leaving = instance.leaving;
         endpoint.listed = true;
     });
     if (!wasListed || moved) {
-        list(number);
+        addToPool(number);
     }
 }
 
@@ -123,46 +122,46 @@
         if (!endpoint.listed || view.instances.contains(endpoint.name)) {
             continue;
         }
-        unlist(number);
-        change(number, [](Endpoint &gone) { gone.listed = false; });
+        removeFromPool(number);
+        update(number, [](Endpoint &removed) { removed.listed = false; });
     }
 }
 
-void EndpointTable::setConnected(const InstanceName &side, bool connected)
+void EndpointTable::setConnected(const InstanceName &sidecar, bool connected)
 {
-    const EndpointNumber number = numberOf(side);
+    const EndpointNumber number = numberOf(sidecar);
     if (m_endpoints[number].connected == connected) {
         return;
     }
-    change(number, [connected](Endpoint &endpoint) {
+    update(number, [connected](Endpoint &endpoint) {
         endpoint.connected = connected;
         endpoint.silent = false;
         endpoint.draining = endpoint.draining && !connected;
     });
 }
 
-void EndpointTable::setDraining(const InstanceName &side, bool draining)
+void EndpointTable::setDraining(const InstanceName &sidecar, bool draining)
 {
-    const EndpointNumber number = numberOf(side);
+    const EndpointNumber number = numberOf(sidecar);
     if (m_endpoints[number].draining != draining) {
-        change(number, [draining](Endpoint &endpoint) { endpoint.draining = draining; });
+        update(number, [draining](Endpoint &endpoint) { endpoint.draining = draining; });
     }
 }
 
-void EndpointTable::setSilent(const InstanceName &side, bool silent)
+void EndpointTable::setSilent(const InstanceName &sidecar, bool silent)
 {
-    const EndpointNumber number = numberOf(side);
+    const EndpointNumber number = numberOf(sidecar);
     if (m_endpoints[number].silent != silent) {
-        change(number, [silent](Endpoint &endpoint) { endpoint.silent = silent; });
+        update(number, [silent](Endpoint &endpoint) { endpoint.silent = silent; });
     }
 }
 
-void EndpointTable::applyReport(const InstanceName &side, const LoadReport &report, TimePoint now)
+void EndpointTable::applyReport(const InstanceName &sidecar, const LoadReport &report, TimePoint now)
 {
-    const EndpointNumber number = numberOf(side);
-    setDraining(side, report.draining);
+    const EndpointNumber number = numberOf(sidecar);
+    setDraining(sidecar, report.draining);
     if (m_endpoints[number].models != report.models) {
-        change(number, [&report](Endpoint &endpoint) { endpoint.models = report.models; });
+        update(number, [&report](Endpoint &endpoint) { endpoint.models = report.models; });
     }
     ReportedLoad &load = m_endpoints[number].reported;
     load.at = now;
@@ -177,7 +176,7 @@
         load.waits.emplace_back(workspaceNumber(wait.workspace), wait.wait);
     }
     std::sort(load.waits.begin(), load.waits.end());
-    m_endpoints[number].own.sinceReport = 0;
+    m_endpoints[number].own.runsSinceReport = 0;
     m_endpoints[number].own.costSinceReport = Duration::zero();
     refreshLoad(number);
 }
@@ -187,7 +186,7 @@
     OwnLoad &own = m_endpoints[number].own;
     ++own.outstanding;
     own.outstandingCost += cost;
-    ++own.sinceReport;
+    ++own.runsSinceReport;
     own.costSinceReport += cost;
     refreshLoad(number);
 }
@@ -211,12 +210,12 @@
         return;
     }
     const auto tier = static_cast<std::size_t>(endpoint.tier);
-    forGroups(endpoint, [&](EndpointGroup &group) { group.available[tier].changeLoad(load, slots); });
+    forEachGroup(endpoint, [&](EndpointGroup &group) { group.available[tier].changeLoad(load, slots); });
 }
 
 void EndpointTable::setEjection(EndpointNumber number, EjectionState state, TimePoint until)
 {
-    change(number, [&](Endpoint &endpoint) {
+    update(number, [&](Endpoint &endpoint) {
         endpoint.ejection = state;
         endpoint.ejectedUntil = until;
     });
@@ -237,9 +236,9 @@
     return m_endpoints[number].observed;
 }
 
-std::optional<EndpointNumber> EndpointTable::find(const InstanceName &side) const
+std::optional<EndpointNumber> EndpointTable::find(const InstanceName &sidecar) const
 {
-    const auto found = m_numbers.find(side.text());
+    const auto found = m_numbers.find(sidecar.text());
     return found == m_numbers.end() ? std::nullopt : std::optional{found->second};
 }
 
--- a/src/bergamottide/placement/endpointtable.h
+++ b/src/bergamottide/placement/endpointtable.h
@@ -13,23 +13,23 @@
 
 namespace bergamottide {
 
-/*! @brief Endpoints of one pool, in groups by the models they hold. */
+/*! @brief Endpoints of one pool, grouped by the models that they have loaded. */
 struct PoolEndpoints
 {
     EndpointGroup all;
-    /*! @brief Endpoints that report no models: taken to serve every model. */
+    /*! @brief Endpoints that report no models and are assumed to serve all of them. */
     EndpointGroup unspecified;
     std::map<ModelName, EndpointGroup> byModel;
-    /*! @brief Every endpoint of the view, available or not. */
+    /*! @brief All endpoints of the instance list, available or not. */
     std::vector<EndpointNumber> listed;
 };
 
 /**
- * @brief All endpoints an entry knows, with their loads, kept up to date event by event.
+ * @brief State and load of all endpoints that an entry knows.
  *
- * Every change touches only the endpoint it is about, so that a placement never has to
- * look at more than a few of them. An endpoint is addressed by a dense number that stays
- * its own as long as the table lives.
+ * The groups and their sums are updated incrementally with each event, so that a placement
+ * doesn't have to iterate over all endpoints. The number of an endpoint doesn't change
+ * during the lifetime of the table.
  */
 class EndpointTable
 {
@@ -41,50 +41,49 @@
      */
     EndpointTable(RegionName region, ZoneName zone);
 
-    /*! @brief Takes a new instance list: adds, moves and removes endpoints as it says. */
+    /*! @brief Adds, moves and removes endpoints according to a new instance list. */
     void applyView(const InstanceView &view);
-    /*! @brief Notes that the stream to a side is open or closed. */
-    void setConnected(const InstanceName &side, bool connected);
-    /*! @brief Notes that a side refuses new work because it drains. */
-    void setDraining(const InstanceName &side, bool draining);
-    /*! @brief Notes that the stream to a side has gone silent, or that the side was heard again. */
-    void setSilent(const InstanceName &side, bool silent);
-    /*! @brief Takes a load report. */
-    void applyReport(const InstanceName &side, const LoadReport &report, TimePoint now);
+    /*! @brief Sets whether the stream to a sidecar is open. */
+    void setConnected(const InstanceName &sidecar, bool connected);
+    /*! @brief Sets whether a sidecar drains and refuses new runs. */
+    void setDraining(const InstanceName &sidecar, bool draining);
+    /*! @brief Sets whether nothing is received on the open stream to a sidecar. */
+    void setSilent(const InstanceName &sidecar, bool silent);
+    /*! @brief Stores a load report of a sidecar. */
+    void applyReport(const InstanceName &sidecar, const LoadReport &report, TimePoint now);
 
-    /*! @brief Notes that a run was sent. */
+    /*! @brief Adds a run to the own load of an endpoint. */
     void runSent(EndpointNumber number, Duration cost);
-    /*! @brief Notes that a run has ended, however it did. */
+    /*! @brief Removes a run from the own load of an endpoint, whatever its outcome. */
     void runEnded(EndpointNumber number, Duration cost);
-    /*! @brief Changes the state of ejection. */
+    /*! @brief Sets the ejection state of an endpoint and the time until which it is ejected. */
     void setEjection(EndpointNumber number, EjectionState state, TimePoint until);
-    /*! @brief Sets the number of ejections without a good trial in between. */
+    /*! @brief Sets the number of consecutive ejections without a successful trial run. */
     void setEjectionCount(EndpointNumber number, std::uint32_t ejections);
 
     /*! @brief Returns an endpoint; the number must come from this table. */
     [[nodiscard]] const Endpoint &endpoint(EndpointNumber number) const;
-    /*! @brief Returns what own runs say about an endpoint, to be changed. */
+    /*! @brief Returns the modifiable observations of own runs at an endpoint. */
     [[nodiscard]] OwnObservations &observations(EndpointNumber number);
-    /*! @brief Finds the number of a side, or nothing if it was never seen. */
-    [[nodiscard]] std::optional<EndpointNumber> find(const InstanceName &side) const;
-    /*! @brief Finds a pool, or null if no endpoint of it was ever seen. */
+    /*! @brief Returns the number of a sidecar's endpoint, or nothing if it is unknown. */
+    [[nodiscard]] std::optional<EndpointNumber> find(const InstanceName &sidecar) const;
+    /*! @brief Returns a pool, or null if it is unknown. */
     [[nodiscard]] const PoolEndpoints *pool(const PoolName &name) const;
-    /*! @brief Returns all pools. */
     [[nodiscard]] const std::map<PoolName, PoolEndpoints> &pools() const noexcept;
-    /*! @brief Returns the number of a workspace; the same for the same name. */
+    /*! @brief Returns the number of a workspace; assigns one if it is new. */
     [[nodiscard]] WorkspaceNumber workspaceNumber(const WorkspaceName &workspace);
 
 private:
     template <typename Change>
-    void change(EndpointNumber number, Change &&apply);
+    void update(EndpointNumber number, Change &&apply);
     template <typename Visit>
-    void forGroups(const Endpoint &endpoint, Visit &&visit);
+    void forEachGroup(const Endpoint &endpoint, Visit &&visit);
 
-    [[nodiscard]] EndpointNumber numberOf(const InstanceName &side);
+    [[nodiscard]] EndpointNumber numberOf(const InstanceName &sidecar);
     [[nodiscard]] Tier tierOf(const Instance &instance) const;
     void applyInstance(const Instance &instance);
-    void unlist(EndpointNumber number);
-    void list(EndpointNumber number);
+    void removeFromPool(EndpointNumber number);
+    void addToPool(EndpointNumber number);
     void refreshLoad(EndpointNumber number);
 
     RegionName m_region;
--- a/src/bergamottide/placement/loadestimate.cpp
+++ b/src/bergamottide/placement/loadestimate.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-/*! @brief Age up to which a report counts in full: one period plus one that may be lost or late. */
+/*! @brief Age up to which a report has full weight, in report periods; tolerates one lost report. */
 constexpr std::int64_t freshPeriods = 2;
-/*! @brief Periods in which the weight of a stale report halves. */
-constexpr std::int64_t halvingPeriods = 4;
+/*! @brief Half-life of the weight of a stale report, in report periods. */
+constexpr std::int64_t halfLifePeriods = 4;
 
-double freshness(const ReportedLoad &reported, const Policy &policy, TimePoint now)
+double reportWeight(const ReportedLoad &reported, const Policy &policy, TimePoint now)
 {
     if (!reported.known) {
         return 0.0;
     }
-    const Duration beyond = now - reported.at - freshPeriods * policy.reportPeriod;
-    if (beyond <= Duration::zero()) {
+    const Duration excessAge = now - reported.at - freshPeriods * policy.reportPeriod;
+    if (excessAge <= Duration::zero()) {
         return 1.0;
     }
-    const double halvings = static_cast<double>(beyond.count())
-        / static_cast<double>(halvingPeriods * std::max<std::int64_t>(1, policy.reportPeriod.count()));
+    const double halvings = static_cast<double>(excessAge.count())
+        / static_cast<double>(halfLifePeriods * std::max<std::int64_t>(1, policy.reportPeriod.count()));
     return std::exp2(-halvings);
 }
 
@@ -43,15 +43,15 @@
     const ReportedLoad &reported = endpoint.reported;
     const OwnLoad &own = endpoint.own;
     const auto concurrency = static_cast<std::int64_t>(std::max(1U, reported.concurrency));
-    const double fresh = freshness(reported, policy, now);
-    // A run beyond the free slots waits for a share of what was sent before it; one within them does not wait.
-    const bool full = reported.inProgress + own.sinceReport >= reported.concurrency;
+    const double weight = reportWeight(reported, policy, now);
+    // A run that finds a free slot doesn't wait for the runs sent since the report.
+    const bool full = reported.inProgress + own.runsSinceReport >= reported.concurrency;
     const Duration since = full ? own.costSinceReport / concurrency : Duration::zero();
     const Duration byReport = reportedWait(reported, workspace) + since;
     const bool ownFull = own.outstanding >= reported.concurrency;
     const Duration byOwn = ownFull ? own.outstandingCost / concurrency : Duration::zero();
     const double wait =
-        fresh * static_cast<double>(byReport.count()) + (1.0 - fresh) * static_cast<double>(byOwn.count());
+        weight * static_cast<double>(byReport.count()) + (1.0 - weight) * static_cast<double>(byOwn.count());
     return Duration{static_cast<std::int64_t>(wait)};
 }
 
--- a/src/bergamottide/placement/placement.h
+++ b/src/bergamottide/placement/placement.h
@@ -11,7 +11,7 @@
 
 namespace bergamottide {
 
-/*! @brief What is to be placed. */
+/*! @brief Run to be placed. */
 struct PlacementQuery
 {
     const PoolName &pool;
@@ -21,75 +21,72 @@
     std::uint64_t prefix{};
     /*! @brief Estimated service time of the run. */
     Duration cost{};
-    /*! @brief The run may be repeated, so that it may try a half-open endpoint. */
+    /*! @brief The run may be sent to a half-open endpoint as its trial run, because it can be repeated. */
     bool mayTry{};
-    /*! @brief Sides that are not to be chosen. */
+    /*! @brief Endpoints that must not be chosen. */
     absl::Span<const InstanceName> avoided;
 };
 
-/*! @brief Where a run is placed. */
+/*! @brief Result of a placement. */
 struct Placed
 {
     EndpointNumber number{};
-    /*! @brief Estimated time in the endpoint's queue, its distance included. */
+    /*! @brief Estimated wait in the endpoint's queue, including the penalty for its distance. */
     Duration wait{};
-    /*! @brief The run is the one trial of a half-open endpoint. */
+    /*! @brief The run is the trial run of a half-open endpoint. */
     bool trial{};
 };
 
 /**
- * @brief Chooses an endpoint for each stage run.
+ * @brief Chooses an endpoint for each run by the power of two choices.
  *
- * Load: bursts and skewed demand over thousands of endpoints, seen through reports that
- * are late, missing or stale, by entries that do not know of each other's choices. Harm
- * prevented: herds that run to the one endpoint that looked idle, a slow endpoint that
- * fills up, prefixes computed anew all over the fleet. A few random candidates
- * (`placementChoices`; two already remove most of the imbalance, each more costs a cache
- * miss and brings the herd back) are compared by estimated wait; the cache-affine one is
- * preferred while its load is bounded (`affinityBound`), since a hot prefix must not
- * overload one endpoint. Farther tiers are looked at with fewer candidates and pay their
- * distance, so that work spills over only when the near ones are worse by more than that.
- * The cost is independent of the number of endpoints.
+ * Compares the estimated waits at a few random candidates (`placementChoices`). Choosing
+ * among all endpoints instead would make independent entries herd to the one that looks
+ * idle in stale reports. The endpoint that the prompt's prefix is mapped to is preferred
+ * while its load is bounded (`affinityBound`), so that a hot prefix doesn't overload it.
+ * Farther tiers get fewer candidates and a penalty for their distance, so that runs spill
+ * over to them only if the nearer ones are worse by more than that. The cost is
+ * independent of the number of endpoints.
  */
 class Placement
 {
 public:
     /**
-     * @brief Creates a placement over a table.
+     * @brief Creates a placement.
      * @param table Endpoints; must outlive the placement.
-     * @param seed Seed of the random choices.
+     * @param seed Seed of the random candidates.
      */
     Placement(EndpointTable &table, std::uint64_t seed);
 
     /**
-     * @brief Chooses an endpoint.
-     * @param query What is to be placed.
-     * @param policy Limits in force.
-     * @param now Present time.
+     * @brief Chooses an endpoint; a half-open one changes to `EjectionState::Trial`.
+     * @param query Run to be placed.
+     * @param policy Current limits.
+     * @param now Current time.
      * @return The endpoint, or nothing if none is available.
      */
     [[nodiscard]] std::optional<Placed> choose(const PlacementQuery &query, const Policy &policy, TimePoint now);
 
     /**
-     * @brief Estimates how long a new run would wait, looking at more candidates than a placement would.
-     * @return The shortest estimated wait found, or nothing if no endpoint is available.
+     * @brief Estimates how long a new run would wait, from more candidates than a placement.
+     * @return Estimated wait at the best candidate, or nothing if no endpoint is available.
      */
     [[nodiscard]] std::optional<Duration> estimateWait(const PlacementQuery &query, const Policy &policy,
                                                        TimePoint now);
 
-    /*! @brief Returns the number of endpoints looked at so far; lets a test count instead of time. */
-    [[nodiscard]] std::uint64_t looked() const noexcept;
+    /*! @brief Returns the number of candidates examined so far; lets tests check the complexity. */
+    [[nodiscard]] std::uint64_t examined() const noexcept;
 
 private:
-    /*! @brief Groups a query draws from; the second may be null. */
-    struct Source
+    /*! @brief Groups that the candidates of a query are sampled from; the second may be null. */
+    struct CandidateGroups
     {
         const EndpointGroup *first{};
         const EndpointGroup *second{};
     };
 
-    /*! @brief Best candidate so far. */
-    struct Best
+    /*! @brief Candidate with the best score so far. */
+    struct BestCandidate
     {
         std::optional<EndpointNumber> number;
         Duration score{};
@@ -97,30 +94,30 @@
         bool trial{};
     };
 
-    /*! @brief A query with what is looked up once for all candidates. */
+    /*! @brief State of the search for one query. */
     struct Search
     {
         const PlacementQuery &query;
         const Policy &policy;
         TimePoint now;
         WorkspaceNumber workspace{};
-        Source source;
-        Best best;
+        CandidateGroups groups;
+        BestCandidate best;
     };
 
-    [[nodiscard]] Source sourceOf(const PlacementQuery &query) const;
+    [[nodiscard]] CandidateGroups groupsFor(const PlacementQuery &query) const;
     [[nodiscard]] Search startSearch(const PlacementQuery &query, const Policy &policy, TimePoint now);
     void searchTiers(Search &search, std::uint32_t choices);
-    [[nodiscard]] std::uint32_t drawFrom(Search &search, Tier tier, std::uint32_t choices);
-    [[nodiscard]] bool drawOne(Search &search, const EndpointSet &first, const EndpointSet *second);
+    [[nodiscard]] std::uint32_t sampleTier(Search &search, Tier tier, std::uint32_t choices);
+    [[nodiscard]] bool sampleOne(Search &search, const EndpointSet &first, const EndpointSet *second);
     void consider(Search &search, EndpointNumber number);
-    void considerAffine(Search &search);
-    [[nodiscard]] Duration waitAt(const Search &search, const Endpoint &endpoint) const;
+    void considerAffinity(Search &search);
+    [[nodiscard]] Duration waitWithDistance(const Search &search, const Endpoint &endpoint) const;
     [[nodiscard]] Duration scoreOf(const Search &search, const Endpoint &endpoint, Duration wait) const;
 
     EndpointTable &m_table;
     Random m_random;
-    std::uint64_t m_looked{};
+    std::uint64_t m_examined{};
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/placement/quantilesketch.h
+++ b/src/bergamottide/placement/quantilesketch.h
@@ -10,42 +10,42 @@
 namespace bergamottide {
 
 /**
- * @brief Quantiles of a ratio around 1, of the recent past, in constant memory.
+ * @brief Streaming quantile estimate over recent ratios, in constant memory.
  *
- * Counts in buckets whose bounds grow by a fixed factor; when the counts have grown large
- * all are halved, so that the last few hundred values decide.
+ * Histogram with logarithmic buckets from 1/64 to 1024. All counts are halved when their
+ * sum reaches a threshold, so that the last few hundred values dominate.
  */
 class QuantileSketch
 {
 public:
-    /*! @brief Values from which on a quantile is told: fewer say nothing about the tail. */
-    static constexpr std::uint32_t enough = 50;
+    /*! @brief Number of values below which no quantile is returned. */
+    static constexpr std::uint32_t minSamples = 50;
 
-    /*! @brief Adds a value; zero and less count as the smallest. */
+    /*! @brief Adds a value; values out of range are counted in the first or last bucket. */
     void add(double value) noexcept
     {
         ++m_counts[bucketOf(value)];
-        if (++m_total >= forgetAt) {
+        if (++m_total >= halvingThreshold) {
             halve();
         }
     }
 
     /**
-     * @brief Returns the value below which a share of the values lies.
+     * @brief Returns a quantile.
      * @param share From 0 to 1.
-     * @return The upper bound of its bucket, or nothing before there are `enough` values.
+     * @return Upper bound of its bucket, or nothing if there are fewer than `minSamples` values.
      */
     [[nodiscard]] std::optional<double> quantile(double share) const noexcept
     {
-        if (m_total < enough) {
+        if (m_total < minSamples) {
             return std::nullopt;
         }
-        const double wanted = share * m_total;
-        double seen = 0;
+        const double rank = share * m_total;
+        double cumulative = 0;
         for (std::size_t bucket = 0; bucket < bucketCount; ++bucket) {
-            seen += m_counts[bucket];
-            if (seen >= wanted) {
-                return std::exp2((static_cast<double>(bucket) + 1.0 - zeroBucket) / bucketsPerDoubling);
+            cumulative += m_counts[bucket];
+            if (cumulative >= rank) {
+                return std::exp2((static_cast<double>(bucket) + 1.0 - unitBucket) / bucketsPerDoubling);
             }
         }
         return std::nullopt;
@@ -54,13 +54,13 @@
 private:
     static constexpr std::size_t bucketCount = 96;
     static constexpr double bucketsPerDoubling = 6.0;
-    /*! @brief Bucket of the value 1: the range reaches from a 1/64 up to 1000. */
-    static constexpr double zeroBucket = 36.0;
-    static constexpr std::uint32_t forgetAt = 1000;
+    /*! @brief Bucket of the value 1. */
+    static constexpr double unitBucket = 36.0;
+    static constexpr std::uint32_t halvingThreshold = 1000;
 
     [[nodiscard]] static std::size_t bucketOf(double value) noexcept
     {
-        const double bucket = std::floor(std::log2(std::max(value, 1e-9)) * bucketsPerDoubling) + zeroBucket;
+        const double bucket = std::floor(std::log2(std::max(value, 1e-9)) * bucketsPerDoubling) + unitBucket;
         return static_cast<std::size_t>(std::clamp(bucket, 0.0, static_cast<double>(bucketCount - 1)));
     }
 
--- a/src/bergamottide/placement/random.h
+++ b/src/bergamottide/placement/random.h
@@ -4,11 +4,10 @@
 
 namespace bergamottide {
 
-/*! @brief Small deterministic generator (SplitMix64): the same seed gives the same choices in every test run. */
+/*! @brief SplitMix64 pseudorandom number generator; deterministic for a given seed. */
 class Random
 {
 public:
-    /*! @brief Starts the sequence of a seed. */
     explicit Random(std::uint64_t seed) noexcept
         : m_state{seed}
     {
@@ -22,7 +21,7 @@
     }
 
     /**
-     * @brief Returns a number below a bound.
+     * @brief Returns a uniformly distributed number below `bound`.
      * @param bound Above zero.
      */
     [[nodiscard]] std::uint32_t below(std::uint32_t bound) noexcept
@@ -30,7 +29,7 @@
         return static_cast<std::uint32_t>(((next() >> 32U) * bound) >> 32U);
     }
 
-    /*! @brief Mixes 64 bits so that each bit of the result depends on all of them. */
+    /*! @brief Finalizer of SplitMix64: each bit of the result depends on all bits of the value. */
     [[nodiscard]] static std::uint64_t mix(std::uint64_t value) noexcept
     {
         value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9ULL;
--- a/src/bergamottide/placement/serviceestimator.cpp
+++ b/src/bergamottide/placement/serviceestimator.cpp
@@ -7,29 +7,29 @@
 
 namespace {
 
-/*! @brief Samples after which each new one counts the same: follows a change of level within about twenty. */
-constexpr std::uint32_t settledSamples = 20;
-/*! @brief Samples counted at most: by then the coarser estimate no longer matters. */
-constexpr std::uint32_t mostSamples = 1000;
-/*! @brief Largest step, as a natural logarithm: a sample more than twice off counts like one that is twice off. */
-constexpr double largestStep = 0.6931;
-/*! @brief Weight of the coarser estimate, in samples. */
-constexpr double coarserWeight = 2.0;
-/*! @brief Stands for all sizes of a stage and kind. */
-constexpr int anySize = -1;
-/*! @brief Classes kept at most; kinds and sizes come from callers, so they must not grow without bound. */
-constexpr std::size_t classLimit = 65536;
+/*! @brief Window of the moving average, in samples. */
+constexpr std::uint32_t windowSamples = 20;
+/*! @brief Upper bound of the sample count; the prior has a negligible weight by then. */
+constexpr std::uint32_t maxSamples = 1000;
+/*! @brief Samples are clamped to a factor of two around the mean; natural logarithm of it. */
+constexpr double maxLogStep = 0.6931;
+/*! @brief Weight of the prior estimate, in samples. */
+constexpr double priorWeight = 2.0;
+/*! @brief Size class of all sizes of a stage and kind. */
+constexpr int allSizes = -1;
+/*! @brief Bounds the memory, since kinds and sizes come from callers. */
+constexpr std::size_t maxClasses = 65536;
 
 int sizeClass(double size)
 {
     return size < 1.0 ? 0 : 1 + std::ilogb(size);
 }
 
-double blend(const RobustMean &mean, double coarser)
+double blendWithPrior(const RobustMean &mean, double prior)
 {
     const double samples = mean.samples();
     const double logarithm =
-        (samples * std::log(mean.value()) + coarserWeight * std::log(coarser)) / (samples + coarserWeight);
+        (samples * std::log(mean.value()) + priorWeight * std::log(prior)) / (samples + priorWeight);
     return std::exp(logarithm);
 }
 
@@ -39,17 +39,17 @@
 {
     const double logarithm = std::log(value);
     if (m_samples == 0) {
-        m_log = logarithm;
+        m_logMean = logarithm;
         m_samples = 1;
         return;
     }
-    m_samples = std::min(m_samples + 1, mostSamples);
-    m_log += std::clamp(logarithm - m_log, -largestStep, largestStep) / std::min(m_samples, settledSamples);
+    m_samples = std::min(m_samples + 1, maxSamples);
+    m_logMean += std::clamp(logarithm - m_logMean, -maxLogStep, maxLogStep) / std::min(m_samples, windowSamples);
 }
 
 double RobustMean::value() const
 {
-    return std::exp(m_log);
+    return std::exp(m_logMean);
 }
 
 std::uint32_t RobustMean::samples() const noexcept
@@ -63,11 +63,11 @@
     const auto refine = [&value](const auto &means, const auto &meanKey) {
         const auto found = means.find(meanKey);
         if (found != means.end()) {
-            value = blend(found->second, value);
+            value = blendWithPrior(found->second, value);
         }
     };
     refine(m_stages, StageKey{key.pipeline.text(), key.stage.text()});
-    refine(m_classes, ClassKey{key.pipeline.text(), key.stage.text(), key.kind.text(), anySize});
+    refine(m_classes, ClassKey{key.pipeline.text(), key.stage.text(), key.kind.text(), allSizes});
     refine(m_classes, ClassKey{key.pipeline.text(), key.stage.text(), key.kind.text(), sizeClass(key.size)});
     return Duration{std::max<std::int64_t>(1, std::llround(value))};
 }
@@ -79,14 +79,14 @@
     }
     const auto value = static_cast<double>(service.count());
     m_stages[StageKey{key.pipeline.text(), key.stage.text()}].add(value);
-    if (m_classes.size() >= classLimit) {
+    if (m_classes.size() >= maxClasses) {
         return;
     }
-    m_classes[ClassKey{key.pipeline.text(), key.stage.text(), key.kind.text(), anySize}].add(value);
+    m_classes[ClassKey{key.pipeline.text(), key.stage.text(), key.kind.text(), allSizes}].add(value);
     m_classes[ClassKey{key.pipeline.text(), key.stage.text(), key.kind.text(), sizeClass(key.size)}].add(value);
 }
 
-std::size_t ServiceEstimator::classes() const noexcept
+std::size_t ServiceEstimator::classCount() const noexcept
 {
     return m_classes.size();
 }
--- a/src/bergamottide/placement/serviceestimator.h
+++ b/src/bergamottide/placement/serviceestimator.h
@@ -10,52 +10,49 @@
 
 namespace bergamottide {
 
-/*! @brief What a service time depends on. */
+/*! @brief Attributes of a run that determine its expected service time. */
 struct ServiceKey
 {
     const PipelineName &pipeline;
     const StageName &stage;
     const KindName &kind;
-    /*! @brief Size of the work in the stage's own unit; not negative. */
+    /*! @brief Size of the run in the stage's unit; not negative. */
     double size{};
 };
 
 /**
- * @brief Running estimate that an outlier moves only a little.
+ * @brief Moving average that is robust to outliers.
  *
- * Works on the logarithm, with each step clipped, so that it settles near the median of
- * what it is told: a value a thousand times too large counts like one that is twice as
- * large. The first samples move it fast, later ones by a fixed share, so that it follows
- * a change of level within about twenty samples.
+ * Averages logarithms and clamps each sample to a factor of two around the mean, so that
+ * the result is close to the median. The weight of a sample decreases to a constant, with
+ * which a change of level is followed within a few dozen samples.
  */
 class RobustMean
 {
 public:
     /**
      * @brief Adds a sample.
-     * @param value Above zero.
+     * @param value Sample, above zero.
      */
     void add(double value);
 
-    /*! @brief Returns the estimate; requires one sample. */
+    /*! @brief Returns the average; requires at least one sample. */
     [[nodiscard]] double value() const;
 
-    /*! @brief Returns the number of samples, up to a thousand. */
+    /*! @brief Returns the number of samples, up to an upper bound. */
     [[nodiscard]] std::uint32_t samples() const noexcept;
 
 private:
-    double m_log{};
+    double m_logMean{};
     std::uint32_t m_samples{};
 };
 
 /**
  * @brief Learns service times by stage, request kind and size.
  *
- * Load: short and long work mixed in one stage, with a few runs that take far longer than
- * their like. Harm prevented: admission and placement that believe in an average nobody
- * has, or in one outlier. A size falls into a class of its power of two; a class with few
- * samples leans on its stage and kind, that on its stage, and that on the document's
- * prior, each counting as much as a handful of samples.
+ * Sizes are grouped into classes by powers of two. The estimate of a class with few samples
+ * is blended with that of its stage and kind, which is blended with that of its stage, and
+ * that with the configured prior.
  */
 class ServiceEstimator
 {
@@ -63,20 +60,20 @@
     /**
      * @brief Estimates a service time.
      * @param key Stage, kind and size.
-     * @param prior Service time the document expects.
-     * @return The estimate, above zero.
+     * @param prior Service time from the configuration.
+     * @return Estimate, above zero.
      */
     [[nodiscard]] Duration estimate(const ServiceKey &key, Duration prior) const;
 
     /**
-     * @brief Learns from a run that has ended.
+     * @brief Adds the service time of a completed run.
      * @param key Stage, kind and size.
-     * @param service Time at the endpoint; zero and less are ignored.
+     * @param service Time that the run took at the endpoint; ignored unless above zero.
      */
     void learn(const ServiceKey &key, Duration service);
 
-    /*! @brief Returns the number of classes kept. */
-    [[nodiscard]] std::size_t classes() const noexcept;
+    /*! @brief Returns the number of classes by stage, kind and size. */
+    [[nodiscard]] std::size_t classCount() const noexcept;
 
 private:
     using StageKey = std::pair<std::string, std::string>;
--- a/src/bergamottide/placement/sharebudget.h
+++ b/src/bergamottide/placement/sharebudget.h
@@ -11,33 +11,32 @@
 namespace bergamottide {
 
 /**
- * @brief Budget of extra attempts as a share of first attempts, by workspace and stage.
+ * @brief Retry budget: limits retries or hedges to a share of the first attempts, by workspace and stage.
  *
- * Load: a fault or an overload in which most runs fail. Harm prevented: attempts that
- * multiply the load just when there is least room for it, and keep an overload alive
- * after its cause is gone (a retry storm). Each first attempt earns a share of a token,
- * each extra attempt costs one; so the extra load stays below that share whatever fails.
- * A workspace that fails for its own reasons uses up nobody else's budget.
+ * Each first attempt deposits a fraction of a token, each extra attempt withdraws one.
+ * This prevents retry storms, in which extra attempts multiply the load of an overloaded
+ * pool. Budgets are separate, so that the failures of one workspace don't use up the
+ * budget of another.
  */
 class ShareBudget
 {
 public:
-    /*! @brief Tokens a workspace starts with: a rare failure must not be final just because traffic is low. */
+    /*! @brief Initial tokens; allow extra attempts when there is little traffic. */
     static constexpr double initial = 10.0;
-    /*! @brief Tokens kept at most: enough to move the runs of one dead endpoint, too few for a storm. */
-    static constexpr double limit = 100.0;
+    /*! @brief Maximum number of tokens; enough to retry the runs of one failed endpoint. */
+    static constexpr double maxTokens = 100.0;
 
     /**
-     * @brief Earns for a first attempt.
+     * @brief Deposits a fraction of a token for a first attempt.
      * @param share Extra attempts allowed per first attempt, from 0 to 1.
      */
     void earn(const WorkspaceName &workspace, const StageName &stage, double share)
     {
         double &tokens = tokensOf(workspace, stage);
-        tokens = std::min(limit, tokens + share);
+        tokens = std::min(maxTokens, tokens + share);
     }
 
-    /*! @brief Takes a token for an extra attempt; returns whether there was one. */
+    /*! @brief Withdraws a token for an extra attempt; returns whether there was one. */
     [[nodiscard]] bool spend(const WorkspaceName &workspace, const StageName &stage)
     {
         double &tokens = tokensOf(workspace, stage);
--- a/test/bergamottide/placement/placement.cpp
+++ b/test/bergamottide/placement/placement.cpp
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/*! @brief A pool of endpoints in zones `a`, `b` (own region) and `c` (another one), all connected. */
+/*! @brief Pool of connected endpoints in zones `a` (own), `b` (same region) and `c` (other region). */
 struct Endpoints
 {
     explicit Endpoints(std::uint32_t inA, std::uint32_t inB = 0, std::uint32_t inC = 0)
@@ -43,11 +43,11 @@
         }
     }
 
-    void report(const std::string &side, Duration wait, std::vector<ModelName> models = {})
+    void report(const std::string &sidecar, Duration wait, std::vector<ModelName> models = {})
     {
         LoadReport load{.queued = wait > Duration::zero() ? 8U : 0U, .concurrency = 8, .wait = wait};
         load.models = std::move(models);
-        table.applyReport(InstanceName{side}, load, now);
+        table.applyReport(InstanceName{sidecar}, load, now);
     }
 
     [[nodiscard]] std::string place(std::uint64_t prefix = 0, const ModelName &wanted = ModelName{}, bool mayTry = true)
@@ -72,23 +72,23 @@
 class PlacementTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PlacementTest);
-    CPPUNIT_TEST(stayInOwnZoneWhileItIsNotWorseThanTheDistance);
-    CPPUNIT_TEST(spillToNextZoneThenToNextRegion);
-    CPPUNIT_TEST(giveNothingNewToLeavingDrainingAndClosedSides);
-    CPPUNIT_TEST(countOwnRunsSinceTheReport);
-    CPPUNIT_TEST(forgetStaleReports);
-    CPPUNIT_TEST(keepPrefixOnOneEndpointUntilItIsFull);
-    CPPUNIT_TEST(preferEndpointsThatHoldTheModel);
-    CPPUNIT_TEST(findTheOneEndpointThatIsLeft);
-    CPPUNIT_TEST(lookAtAsManyEndpointsInALargeFleet);
-    CPPUNIT_TEST(affinityMovesOnlyKeysOfTheEndpointThatLeft);
-    CPPUNIT_TEST(ejectSlowAndFailingButNeverMoreThanTheCap);
-    CPPUNIT_TEST(ejectNobodyWhenAllFail);
-    CPPUNIT_TEST(returnAfterOneGoodTrial);
+    CPPUNIT_TEST(staysInOwnZoneWithoutLoad);
+    CPPUNIT_TEST(spillsToOtherZoneThenToOtherRegion);
+    CPPUNIT_TEST(skipsLeavingDrainingAndDisconnectedEndpoints);
+    CPPUNIT_TEST(countsRunsSentSinceReport);
+    CPPUNIT_TEST(staleReportsDecay);
+    CPPUNIT_TEST(keepsPrefixOnOneEndpointUntilItIsFull);
+    CPPUNIT_TEST(prefersEndpointsWithLoadedModel);
+    CPPUNIT_TEST(findsOnlyRemainingEndpoint);
+    CPPUNIT_TEST(examinedCandidatesDoNotGrowWithFleet);
+    CPPUNIT_TEST(removalRemapsOnlyKeysOfRemovedEndpoint);
+    CPPUNIT_TEST(ejectsOutliersUpToCap);
+    CPPUNIT_TEST(ejectsNoneWhenAllFail);
+    CPPUNIT_TEST(returnsToServiceAfterSuccessfulTrial);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void stayInOwnZoneWhileItIsNotWorseThanTheDistance()
+    void staysInOwnZoneWithoutLoad()
     {
         Endpoints pool{2, 2, 2};
         for (int draw = 0; draw < 100; ++draw) {
@@ -96,7 +96,7 @@
         }
     }
 
-    void spillToNextZoneThenToNextRegion()
+    void spillsToOtherZoneThenToOtherRegion()
     {
         Endpoints pool{2, 2, 2};
         pool.report("a0", milliseconds{50});
@@ -109,7 +109,7 @@
         CPPUNIT_ASSERT_EQUAL('c', pool.place().front());
     }
 
-    void giveNothingNewToLeavingDrainingAndClosedSides()
+    void skipsLeavingDrainingAndDisconnectedEndpoints()
     {
         Endpoints pool{4};
         pool.view.instances[InstanceName{"a0"}].leaving = true;
@@ -124,7 +124,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string{}, pool.place());
     }
 
-    void countOwnRunsSinceTheReport()
+    void countsRunsSentSinceReport()
     {
         Endpoints pool{2};
         pool.report("a0", Duration::zero());
@@ -136,7 +136,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"a1"}, pool.place());
     }
 
-    void forgetStaleReports()
+    void staleReportsDecay()
     {
         Endpoints pool{1};
         pool.report("a0", seconds{4});
@@ -147,7 +147,7 @@
         CPPUNIT_ASSERT(estimatedWait(endpoint, 0, pool.policy, pool.now + seconds{30}) < milliseconds{1});
     }
 
-    void keepPrefixOnOneEndpointUntilItIsFull()
+    void keepsPrefixOnOneEndpointUntilItIsFull()
     {
         Endpoints pool{4};
         for (const auto &[name, instance] : pool.view.instances) {
@@ -158,14 +158,14 @@
             chosen.insert(pool.place(77));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, chosen.size());
-        const InstanceName affine{*chosen.begin()};
+        const InstanceName affinity{*chosen.begin()};
         for (int run = 0; run < 8; ++run) {
-            pool.table.runSent(*pool.table.find(affine), milliseconds{100});
+            pool.table.runSent(*pool.table.find(affinity), milliseconds{100});
         }
-        CPPUNIT_ASSERT(pool.place(77) != affine.text());
+        CPPUNIT_ASSERT(pool.place(77) != affinity.text());
     }
 
-    void preferEndpointsThatHoldTheModel()
+    void prefersEndpointsWithLoadedModel()
     {
         Endpoints pool{4};
         const ModelName large{"large"};
@@ -178,7 +178,7 @@
         CPPUNIT_ASSERT(!pool.place(0, large).empty());
     }
 
-    void findTheOneEndpointThatIsLeft()
+    void findsOnlyRemainingEndpoint()
     {
         Endpoints pool{5};
         pool.avoided = {InstanceName{"a0"}, InstanceName{"a1"}, InstanceName{"a3"}, InstanceName{"a4"}};
@@ -187,22 +187,21 @@
         }
     }
 
-    // The cost of a placement is the endpoints it looks at: the same for 12 and for 4,000.
-    void lookAtAsManyEndpointsInALargeFleet()
+    void examinedCandidatesDoNotGrowWithFleet()
     {
-        const auto lookedAt = [](std::uint32_t inZone, std::uint32_t inRegion, std::uint32_t elsewhere) {
+        const auto examinedCandidates = [](std::uint32_t inZone, std::uint32_t inRegion, std::uint32_t elsewhere) {
             Endpoints pool{inZone, inRegion, elsewhere};
             for (int draw = 0; draw < 100; ++draw) {
                 static_cast<void>(pool.place(static_cast<std::uint64_t>(draw) + 1));
             }
-            return pool.placement.looked();
+            return pool.placement.examined();
         };
-        CPPUNIT_ASSERT(lookedAt(4, 8, 0) <= 500);
-        CPPUNIT_ASSERT(lookedAt(43, 86, 0) <= 500);
-        CPPUNIT_ASSERT(lookedAt(129, 387, 3484) <= 500);
+        CPPUNIT_ASSERT(examinedCandidates(4, 8, 0) <= 500);
+        CPPUNIT_ASSERT(examinedCandidates(43, 86, 0) <= 500);
+        CPPUNIT_ASSERT(examinedCandidates(129, 387, 3484) <= 500);
     }
 
-    void affinityMovesOnlyKeysOfTheEndpointThatLeft()
+    void removalRemapsOnlyKeysOfRemovedEndpoint()
     {
         AffinityMap map;
         for (EndpointNumber number = 0; number < 10; ++number) {
@@ -222,7 +221,7 @@
         }
     }
 
-    void ejectSlowAndFailingButNeverMoreThanTheCap()
+    void ejectsOutliersUpToCap()
     {
         Endpoints pool{6};
         Ejector ejector{pool.table};
@@ -239,7 +238,7 @@
         CPPUNIT_ASSERT(pool.table.endpoint(5).available());
     }
 
-    void ejectNobodyWhenAllFail()
+    void ejectsNoneWhenAllFail()
     {
         Endpoints pool{6};
         Ejector ejector{pool.table};
@@ -251,7 +250,7 @@
         CPPUNIT_ASSERT(ejector.review(pool.policy, pool.now).empty());
     }
 
-    void returnAfterOneGoodTrial()
+    void returnsToServiceAfterSuccessfulTrial()
     {
         Endpoints pool{3};
         Ejector ejector{pool.table};
--- a/test/bergamottide/placement/serviceestimator.cpp
+++ b/test/bergamottide/placement/serviceestimator.cpp
@@ -10,11 +10,11 @@
 class ServiceEstimatorTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServiceEstimatorTest);
-    CPPUNIT_TEST(startFromPriorAndLearn);
-    CPPUNIT_TEST(surviveOutliers);
-    CPPUNIT_TEST(tellSizesApart);
-    CPPUNIT_TEST(followChangeOfLevel);
-    CPPUNIT_TEST(sketchTellsQuantileOfRecentValues);
+    CPPUNIT_TEST(startsFromPriorAndLearns);
+    CPPUNIT_TEST(isRobustToOutliers);
+    CPPUNIT_TEST(distinguishesSizes);
+    CPPUNIT_TEST(followsChangeOfLevel);
+    CPPUNIT_TEST(sketchReturnsQuantiles);
     CPPUNIT_TEST_SUITE_END();
 
     PipelineName m_pipeline{"answer"};
@@ -34,7 +34,7 @@
         }
     }
 
-    void near(Duration expected, double size)
+    void assertEstimateNear(Duration expected, double size)
     {
         const auto estimate = static_cast<double>(m_estimator.estimate(key(size), milliseconds{50}).count());
         const double ratio = estimate / static_cast<double>(expected.count());
@@ -42,40 +42,40 @@
     }
 
 public:
-    void startFromPriorAndLearn()
+    void startsFromPriorAndLearns()
     {
         CPPUNIT_ASSERT(m_estimator.estimate(key(100), milliseconds{50}) == milliseconds{50});
         learn(100, milliseconds{400}, 40);
-        near(milliseconds{400}, 100);
+        assertEstimateNear(milliseconds{400}, 100);
     }
 
-    void surviveOutliers()
+    void isRobustToOutliers()
     {
         for (int round = 0; round < 30; ++round) {
             learn(100, milliseconds{100}, 9);
             learn(100, std::chrono::minutes{10}, 1);
         }
-        near(milliseconds{100}, 100);
+        assertEstimateNear(milliseconds{100}, 100);
     }
 
-    void tellSizesApart()
+    void distinguishesSizes()
     {
         for (int round = 0; round < 30; ++round) {
             learn(10, milliseconds{20}, 1);
             learn(1000, milliseconds{2000}, 1);
         }
-        near(milliseconds{20}, 10);
-        near(milliseconds{2000}, 1000);
+        assertEstimateNear(milliseconds{20}, 10);
+        assertEstimateNear(milliseconds{2000}, 1000);
     }
 
-    void followChangeOfLevel()
+    void followsChangeOfLevel()
     {
         learn(100, milliseconds{100}, 200);
         learn(100, milliseconds{800}, 100);
-        near(milliseconds{800}, 100);
+        assertEstimateNear(milliseconds{800}, 100);
     }
 
-    void sketchTellsQuantileOfRecentValues()
+    void sketchReturnsQuantiles()
     {
         QuantileSketch sketch;
         CPPUNIT_ASSERT(!sketch.quantile(0.98));
