--- a/src/bergamottide/engines/engineplacement.cpp
+++ b/src/bergamottide/engines/engineplacement.cpp
@@ -9,27 +9,27 @@
 
 namespace {
 
-/*! @brief Weight of the time that reading a prompt takes from other generations, against one's own wait. */
-constexpr double readWeight = 1.0;
-/*! @brief The same for what is fetched from another engine. Moving a token costs about a quarter of reading it. */
+/*! @brief Weight of the engine time that the prefill takes from other generations, relative to the own wait. */
+constexpr double prefillWeight = 1.0;
+/*! @brief The same for tokens fetched from another engine, as a share of their prefill time. */
 constexpr double fetchWeight = 0.25;
-/*! @brief Setting up a fetch takes some milliseconds, hence only what takes longer to read is fetched, in tokens. */
-constexpr std::uint64_t leastFetch = 512;
-/*! @brief Share of the reading time by which the home of a part that nobody is known to keep is preferred: processes
- * that have not heard of each other's sends of the last moments then meet there. */
-constexpr double homeShare = 0.5;
-/*! @brief Cost of inputs that lie in another zone, in seconds a byte: moving a megabyte costs as much as reading some
- * 400 tokens. */
-constexpr double zoneSecondsPerByte = 8e-9;
-/*! @brief Cost of a run that is in progress at the engine, in seconds: each slows the steps of the others a little. */
-constexpr double runSeconds = 0.002;
+/*! @brief Minimum number of tokens to fetch; the prefill of fewer takes less time than setting up a transfer. */
+constexpr std::uint64_t minFetchTokens = 512;
+/*! @brief Cost reduction of the engine preferred by rendezvous hashing for a prefix that no engine is known to cache,
+ * as a share of the prefill time. Processes that don't know of each other's latest sends thereby choose the same
+ * engine. */
+constexpr double preferredEngineShare = 0.5;
+/*! @brief Cost of transferring inputs from another zone, in seconds per byte. */
+constexpr double crossZoneSecondsPerByte = 8e-9;
+/*! @brief Cost of each run in progress at the engine, in seconds; concurrent runs slow each other down. */
+constexpr double secondsPerRun = 0.002;
 
 double seconds(Duration duration)
 {
     return std::chrono::duration<double>(duration).count();
 }
 
-std::uint64_t score(std::uint64_t key, const InstanceName &engine)
+std::uint64_t rendezvousScore(std::uint64_t key, const InstanceName &engine)
 {
     return XXH3_64bits_withSeed(engine.text().data(), engine.text().size(), key);
 }
@@ -43,129 +43,128 @@
     return sum;
 }
 
-/*! @brief What the engines keep of one prompt. */
-struct Kept
+/*! @brief Parts of a prompt that the engines have cached. */
+struct CacheCoverage
 {
-    /*! @brief Links that each candidate keeps. */
+    /*! @brief Number of leading links that each candidate caches or will have cached. */
     std::vector<std::size_t> links;
-    /*! @brief Most links that some engine has read, and that engine. */
-    std::size_t mostRead{};
-    InstanceName reader;
-    /*! @brief Some engine keeps all parts but the last, which is taken for the request's own. */
-    bool isSharedKept{};
+    /*! @brief Largest number of leading links that an engine has cached already, and that engine. */
+    std::size_t maxReadyLinks{};
+    InstanceName fetchSource;
+    /*! @brief An engine caches all parts but the last, which is assumed to be specific to the request. */
+    bool isSharedPrefixCached{};
 };
 
-Kept keptOf(const EngineTable &table, const std::vector<EngineCandidate> &candidates, const PromptChain &chain,
-            TimePoint now)
+CacheCoverage cacheCoverageOf(const EngineTable &table, const std::vector<EngineCandidate> &candidates,
+                              const PromptChain &chain, TimePoint now)
 {
-    Kept kept;
-    kept.links.reserve(candidates.size());
+    CacheCoverage coverage;
+    coverage.links.reserve(candidates.size());
     for (const EngineCandidate &candidate : candidates) {
         const EngineState *state = table.find(candidate.engine);
-        kept.links.push_back(state == nullptr ? 0 : state->kept.keptLinks(chain));
-        kept.isSharedKept = kept.isSharedKept || kept.links.back() + 1 >= chain.size();
-        const std::size_t read = state == nullptr ? 0 : state->kept.readLinks(chain, now);
-        if (read > kept.mostRead) {
-            kept.mostRead = read;
-            kept.reader = candidate.engine;
+        coverage.links.push_back(state == nullptr ? 0 : state->prefixCache.cachedLinks(chain));
+        coverage.isSharedPrefixCached = coverage.isSharedPrefixCached || coverage.links.back() + 1 >= chain.size();
+        const std::size_t ready = state == nullptr ? 0 : state->prefixCache.readyLinks(chain, now);
+        if (ready > coverage.maxReadyLinks) {
+            coverage.maxReadyLinks = ready;
+            coverage.fetchSource = candidate.engine;
         }
     }
-    return kept;
+    return coverage;
 }
 
 /*! @brief Returns the engine that rendezvous hashing prefers for the shared parts of a prompt. */
-InstanceName homeOf(const std::vector<EngineCandidate> &candidates, const PromptChain &chain)
+InstanceName preferredEngineOf(const std::vector<EngineCandidate> &candidates, const PromptChain &chain)
 {
     if (chain.empty()) {
         return {};
     }
-    // The last part is taken for the request's own, unless it is the only one.
+    // The last part is assumed to be specific to the request, unless it is the only one.
     const std::uint64_t key = chain[chain.size() > 1 ? chain.size() - 2 : 0].digest;
     const auto best = std::ranges::max_element(
-        candidates, {}, [key](const EngineCandidate &candidate) { return score(key, candidate.engine); });
+        candidates, {}, [key](const EngineCandidate &candidate) { return rendezvousScore(key, candidate.engine); });
     return best == candidates.end() ? InstanceName{} : best->engine;
 }
 
-/*! @brief A choice and what it costs, in seconds. */
+/*! @brief Choice with its cost in seconds. */
 struct PricedChoice
 {
     EngineChoice choice;
     double cost{};
 };
 
-/*! @brief Prices the engines for one generation. */
-class Pricing
+/*! @brief Estimates the costs of the engines for one generation. */
+class CostModel
 {
 public:
-    Pricing(EngineTable &table, const std::vector<EngineCandidate> &candidates, const GenerationNeeds &needs,
-            TimePoint now)
+    CostModel(EngineTable &table, const std::vector<EngineCandidate> &candidates, const GenerationNeeds &query,
+              TimePoint now)
         : m_table{table}
-        , m_needs{needs}
+        , m_query{query}
         , m_now{now}
-        , m_times{table.model(needs.pool)}
-        , m_speed{m_times.tokensPerSecond()}
-        , m_kept{keptOf(table, candidates, needs.chain, now)}
-        , m_home{m_kept.isSharedKept ? InstanceName{} : homeOf(candidates, needs.chain)}
+        , m_firstEventModel{table.model(query.pool)}
+        , m_prefillRate{m_firstEventModel.tokensPerSecond()}
+        , m_coverage{cacheCoverageOf(table, candidates, query.chain, now)}
+        , m_preferredEngine{m_coverage.isSharedPrefixCached ? InstanceName{}
+                                                            : preferredEngineOf(candidates, query.chain)}
     {
     }
 
-    /*! @brief Prices one engine that keeps the given number of links. */
-    [[nodiscard]] PricedChoice at(const EngineCandidate &candidate, std::size_t index) const
+    /*! @brief Estimates the cost of the candidate at an index. */
+    [[nodiscard]] PricedChoice evaluate(const EngineCandidate &candidate, std::size_t index) const
     {
         const EngineState *state = m_table.find(candidate.engine);
-        const double slowness = state == nullptr ? 1.0 : presentSlowness(*state, m_now);
-        const std::size_t links = m_kept.links[index];
+        const double slowness = state == nullptr ? 1.0 : currentSlowness(*state, m_now);
+        const std::size_t links = m_coverage.links[index];
         PricedChoice out;
         EngineChoice &choice = out.choice;
         choice.engine = candidate.engine;
-        choice.ahead = state == nullptr ? 0.0 : state->backlog.all(m_speed, m_now);
-        choice.toRead = tokensBetween(m_needs.chain, links, m_needs.chain.size());
-        out.cost += fetch(choice, tokensBetween(m_needs.chain, links, m_kept.mostRead));
-        const double toRead = static_cast<double>(choice.toRead);
-        choice.expected = std::chrono::duration_cast<Duration>(m_times.expected(choice.ahead + toRead) * slowness);
-        out.cost += seconds(choice.expected) + readWeight * slowness * toRead / m_speed;
-        out.cost += runSeconds * candidate.running;
-        if (candidate.engine == m_home) {
-            out.cost -= homeShare * toRead / m_speed;
+        choice.ahead = state == nullptr ? 0.0 : state->backlog.totalTokens(m_prefillRate, m_now);
+        choice.toRead = tokensBetween(m_query.chain, links, m_query.chain.size());
+        out.cost += fetch(choice, tokensBetween(m_query.chain, links, m_coverage.maxReadyLinks));
+        const double prefillTokens = static_cast<double>(choice.toRead);
+        choice.expected =
+            std::chrono::duration_cast<Duration>(m_firstEventModel.expected(choice.ahead + prefillTokens) * slowness);
+        out.cost += seconds(choice.expected) + prefillWeight * slowness * prefillTokens / m_prefillRate;
+        out.cost += secondsPerRun * candidate.running;
+        if (candidate.engine == m_preferredEngine) {
+            out.cost -= preferredEngineShare * prefillTokens / m_prefillRate;
         }
-        if (!m_needs.inputZone.empty() && candidate.zone != m_needs.inputZone) {
-            out.cost += zoneSecondsPerByte * static_cast<double>(m_needs.inputBytes);
+        if (!m_query.inputZone.empty() && candidate.zone != m_query.inputZone) {
+            out.cost += crossZoneSecondsPerByte * static_cast<double>(m_query.inputBytes);
         }
         return out;
     }
 
 private:
-    /*! @brief Has the tokens fetched if that is worth it, and returns its cost. */
+    /*! @brief Lets the engine fetch the tokens instead of their prefill if possible; returns the cost in seconds. */
     [[nodiscard]] double fetch(EngineChoice &choice, std::uint64_t tokens) const
     {
-        if (m_needs.fetchRate <= 0.0 || tokens < leastFetch) {
+        if (m_query.fetchRate <= 0.0 || tokens < minFetchTokens) {
             return 0.0;
         }
-        choice.fetchFrom = m_kept.reader;
+        choice.fetchFrom = m_coverage.fetchSource;
         choice.toRead -= tokens;
-        return static_cast<double>(tokens) * (1.0 / m_needs.fetchRate + fetchWeight / m_speed);
+        return static_cast<double>(tokens) * (1.0 / m_query.fetchRate + fetchWeight / m_prefillRate);
     }
 
     const EngineTable &m_table;
-    const GenerationNeeds &m_needs;
+    const GenerationNeeds &m_query;
     TimePoint m_now;
-    const FirstEventModel &m_times;
-    double m_speed;
-    Kept m_kept;
-    InstanceName m_home;
+    const FirstEventModel &m_firstEventModel;
+    double m_prefillRate;
+    CacheCoverage m_coverage;
+    InstanceName m_preferredEngine;
 };
 
 } // namespace
 
-/*
- * Answers prompts of very different lengths that share long parts, in bursts: counted by requests, an engine with three
- * long prompts looks as free as one with three short ones, and a request waited 1.5 s there while others were idle.
- */
+// Compares tokens instead of requests, since prompts differ widely in length.
 std::optional<EngineChoice> pickEngine(EngineTable &table, const std::vector<EngineCandidate> &candidates,
-                                       const GenerationNeeds &needs, TimePoint now)
+                                       const GenerationNeeds &query, TimePoint now)
 {
-    const Pricing pricing{table, candidates, needs, now};
-    const std::uint64_t tieKey = XXH3_64bits(needs.attempt.data(), needs.attempt.size());
+    const CostModel costModel{table, candidates, query, now};
+    const std::uint64_t tieKey = XXH3_64bits(query.attempt.data(), query.attempt.size());
     std::optional<EngineChoice> best;
     std::pair<double, std::uint64_t> bestKey;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
@@ -173,10 +172,10 @@
         if (candidate.isExcluded) {
             continue;
         }
-        const PricedChoice priced = pricing.at(candidate, index);
-        const std::pair key{priced.cost, score(tieKey, candidate.engine)};
+        const PricedChoice candidateChoice = costModel.evaluate(candidate, index);
+        const std::pair key{candidateChoice.cost, rendezvousScore(tieKey, candidate.engine)};
         if (!best || key < bestKey) {
-            best = priced.choice;
+            best = candidateChoice.choice;
             bestKey = key;
         }
     }
--- a/src/bergamottide/engines/engineplacement.h
+++ b/src/bergamottide/engines/engineplacement.h
@@ -12,58 +12,59 @@
 
 namespace bergamottide::engines {
 
-/*! @brief An engine that takes work. */
+/*! @brief Engine that accepts generations. */
 struct EngineCandidate
 {
     InstanceName engine;
     ZoneName zone;
-    /*! @brief Runs there, as far as is known. */
+    /*! @brief Known runs in progress at the engine. */
     std::uint32_t running{};
-    /*! @brief The request has been sent to it before. */
+    /*! @brief The engine must not be chosen because the request was sent to it before. */
     bool isExcluded{};
 };
 
-/*! @brief What decides where a generation goes, apart from the engines. */
+/*! @brief Generation to be placed. */
 struct GenerationNeeds
 {
     PoolName pool;
     const PromptChain &chain;
-    /*! @brief Identity of the request; breaks ties differently for each request. */
+    /*! @brief Id of the request's attempt; used to break ties differently for each request. */
     std::string_view attempt;
-    /*! @brief Zone in which its inputs lie, and their bytes. */
+    /*! @brief Zone in which the inputs are stored; empty if none or unknown. */
     ZoneName inputZone;
     std::uint64_t inputBytes{};
-    /*! @brief Speed at which engines fetch prompts from each other, in tokens a second; zero if they cannot. */
+    /*! @brief Rate at which engines transfer cached prompts to each other, in tokens per second; zero if they can't. */
     double fetchRate{};
 };
 
-/*! @brief Engine that a generation goes to. */
+/*! @brief Engine that was chosen for a generation. */
 struct EngineChoice
 {
     InstanceName engine;
-    /*! @brief Engine from which it fetches what that keeps of the prompt; empty if it reads all that it lacks. */
+    /*! @brief Engine from which cached parts of the prompt are fetched; empty if none are. */
     InstanceName fetchFrom;
-    /*! @brief Tokens that the engine reads, and that it has to read before. */
+    /*! @brief Tokens of the prompt that the engine has to prefill. */
     std::uint64_t toRead{};
+    /*! @brief Tokens that the engine has to prefill for earlier generations. */
     double ahead{};
-    /*! @brief Expected time to the first event. */
+    /*! @brief Expected time to the first event of the generation. */
     Duration expected{};
 };
 
 /**
- * @brief Picks the engine with the least expected cost for a generation.
+ * @brief Chooses the engine with the lowest expected cost for a generation.
  *
- * The cost is the expected time to the first event, and the time that the engine is taken from others by what it has to
- * read. So a prompt goes to an engine that keeps its parts as long as the wait there is shorter than reading them again
- * elsewhere; parts that come often spread by themselves over as many engines as their load needs.
+ * The cost is the expected time to the first event plus the engine time that the prefill takes from other generations.
+ * A prompt is thus sent to an engine that caches its prefix while the wait there is shorter than the prefill elsewhere,
+ * and frequent prefixes spread over as many engines as their load requires.
  *
- * @param table What is known of the engines.
- * @param candidates Engines that take work.
- * @param needs The generation.
- * @param now Present time.
- * @return The choice; nothing if no engine is left.
+ * @param table State of the engines.
+ * @param candidates Engines that accept generations.
+ * @param query Generation to be placed.
+ * @param now Current time.
+ * @return The choice, or nothing if all candidates are excluded.
  */
 [[nodiscard]] std::optional<EngineChoice> pickEngine(EngineTable &table, const std::vector<EngineCandidate> &candidates,
-                                                     const GenerationNeeds &needs, TimePoint now);
+                                                     const GenerationNeeds &query, TimePoint now);
 
 } // namespace bergamottide::engines
--- a/src/bergamottide/engines/enginereport.h
+++ b/src/bergamottide/engines/enginereport.h
@@ -9,32 +9,32 @@
 
 namespace bergamottide::engines {
 
-/*! @brief Prompt tokens that an engine has yet to read for the generations of one process. */
+/*! @brief Pending prompt tokens at an engine for the generations of one process. */
 struct EngineWork
 {
     InstanceName engine;
     std::uint64_t tokens{};
 };
 
-/*! @brief A prompt that one process has lately sent to an engine, which therefore keeps it. */
+/*! @brief Prompt that a process has recently sent to an engine, which therefore caches it. */
 struct PlacedPrompt
 {
     InstanceName engine;
     PromptChain chain;
-    /*! @brief Time until the engine is expected to have read it, from the making of the report. */
+    /*! @brief Expected time from the creation of the report until the prompt is cached. */
     Duration readIn{};
 };
 
-/*! @brief What one process tells the others of its generations, so that they place theirs with regard to them. */
+/*! @brief Report of a process on its generations, which its peers take into account when placing theirs. */
 struct EngineReport
 {
-    /*! @brief Process that tells it; others may pass it on. */
+    /*! @brief Process that created the report; others may forward it. */
     InstanceName origin;
-    /*! @brief Sets one start of the process apart from the next, which counts its reports anew. */
+    /*! @brief Identifies one run of the process; `sequence` starts again with the next. */
     std::uint64_t incarnation{};
-    /*! @brief Grows with each report of the process; the highest holds. */
+    /*! @brief Increases with each report of the process; older reports are ignored. */
     std::uint64_t sequence{};
-    /*! @brief Engines that have something to read for the process; no others. */
+    /*! @brief Engines with pending prompt tokens of the process; all others have none. */
     std::vector<EngineWork> work;
     std::vector<PlacedPrompt> placed;
 };
--- a/src/bergamottide/engines/enginetable.h
+++ b/src/bergamottide/engines/enginetable.h
@@ -4,8 +4,8 @@
 #include "bergamottide/core/time.h"
 #include "bergamottide/engines/enginereport.h"
 #include "bergamottide/engines/firsteventmodel.h"
-#include "bergamottide/engines/keptparts.h"
 #include "bergamottide/engines/prefillbacklog.h"
+#include "bergamottide/engines/prefixcachemodel.h"
 
 #include <cstdint>
 #include <deque>
@@ -16,115 +16,116 @@
 
 namespace bergamottide::engines {
 
-/*! @brief An engine as the platform lists it. */
+/*! @brief Engine in the instance list of the platform. */
 struct EngineListing
 {
     InstanceName engine;
     PoolName pool;
-    /*! @brief Sets one start of the engine apart from the next. */
+    /*! @brief Identifies one run of the engine; its cache is lost with the next. */
     std::uint64_t incarnation{};
-    /*! @brief Memory for prompts, in tokens; zero if not known. */
+    /*! @brief Capacity of the prefix cache in tokens; zero if unknown. */
     std::uint64_t capacity{};
 };
 
-/*! @brief What this process believes of one engine. */
+/*! @brief Estimated state of an engine. */
 struct EngineState
 {
     EngineListing listing;
-    KeptParts kept;
+    PrefixCacheModel prefixCache;
     PrefillBacklog backlog;
-    /*! @brief Measured over expected time to first events, as a moving average; 1 is as expected. */
+    /*! @brief Moving average of measured over expected time to the first event; 1 is as expected. */
     double slowness{1.0};
     TimePoint slownessAt{};
 };
 
-/*! @brief Returns how much slower than the others of its pool an engine is at present; what was measured fades. */
-[[nodiscard]] double presentSlowness(const EngineState &engine, TimePoint now);
+/*! @brief Returns the slowness of an engine relative to its pool, decayed since its last measurement. */
+[[nodiscard]] double currentSlowness(const EngineState &engine, TimePoint now);
 
-/*! @brief A generation that is sent to an engine. */
+/*! @brief Generation that is sent to an engine. */
 struct SentGeneration
 {
     GenerationNumber number{};
     InstanceName engine;
     PromptChain chain;
-    /*! @brief Tokens that the engine reads for it, and tokens that it had to read before. */
+    /*! @brief Tokens of the prompt that the engine has to prefill. */
     std::uint64_t toRead{};
+    /*! @brief Tokens that the engine has to prefill for earlier generations. */
     double ahead{};
-    /*! @brief Expected time to its first event. */
+    /*! @brief Expected time to the first event. */
     Duration expected{};
 };
 
 /**
- * @brief What the model engines keep and have yet to read, from the generations that this process and its peers have
- * sent.
+ * @brief Estimated prefix caches and prefill backlogs of the model engines.
  *
- * Made for loads in which prompts are long and share parts: the time to the first event is then decided by what the
- * engine has to read, which no count of requests tells.
+ * Derived from the generations that this process and its peers have sent. With long prompts that share prefixes, the
+ * time to the first event depends on the tokens to prefill and not on the number of requests.
  */
 class EngineTable
 {
 public:
     /**
-     * @brief Takes over the list of engines.
+     * @brief Replaces the list of engines.
      *
-     * One that is no longer listed is forgotten; one that has started anew keeps nothing of what it had read.
-     * @param list All engines of all pools.
+     * The state of engines that are no longer listed or were restarted is discarded.
+     * @param listings Engines of all pools.
      */
-    void setEngines(const std::vector<EngineListing> &list);
+    void setEngines(const std::vector<EngineListing> &listings);
 
-    /*! @brief Notes a generation that goes to an engine. */
+    /*! @brief Records a generation that is sent to an engine. */
     void sent(SentGeneration generation, TimePoint now);
 
-    /*! @brief Notes the first event of a generation: its prompt has been read. */
+    /*! @brief Records the first event of a generation, with which its prefill is complete. */
     void began(GenerationNumber number, TimePoint now);
 
-    /*! @brief Notes that a generation has ended, with or without a first event. */
+    /*! @brief Records the end of a generation, with or without a first event. */
     void ended(GenerationNumber number, TimePoint now);
 
-    /*! @brief Takes what a peer tells, also by way of others. */
+    /*! @brief Applies the report of a peer, received directly or forwarded by another one; ignores outdated reports. */
     void told(const EngineReport &report, TimePoint now);
 
     /**
-     * @brief Returns what this process tells its peers.
+     * @brief Creates the next report of this process for its peers.
      * @param self This process.
-     * @param incarnation Sets this start of it apart.
-     * @param now Present time.
+     * @param incarnation Identifies this run of the process.
+     * @param now Current time.
      */
     [[nodiscard]] EngineReport report(const InstanceName &self, std::uint64_t incarnation, TimePoint now);
 
-    /*! @brief Returns what is believed of an engine, or null if nothing is known. */
+    /*! @brief Returns the state of an engine, or null if it is not listed. */
     [[nodiscard]] const EngineState *find(const InstanceName &engine) const;
 
-    /*! @brief Returns the times to first events of a pool. */
+    /*! @brief Returns the model of the times to first events of a pool. */
     [[nodiscard]] const FirstEventModel &model(const PoolName &pool);
 
 private:
-    /*! @brief A generation without a first event. */
-    struct Waiting
+    /*! @brief Generation without a first event. */
+    struct PendingGeneration
     {
         SentGeneration generation;
         TimePoint at{};
     };
 
-    /*! @brief A prompt that peers are to be told of. */
-    struct News
+    /*! @brief Placement to be included in reports. */
+    struct RecentPlacement
     {
         InstanceName engine;
         PromptChain chain;
-        TimePoint readAt{};
+        TimePoint readyAt{};
         TimePoint sentAt{};
     };
 
-    void learn(const Waiting &waiting, EngineState &engine, TimePoint now);
-    void takeWork(const EngineReport &report, TimePoint now);
+    void learnFirstEvent(const PendingGeneration &pending, EngineState &engine, TimePoint now);
+    void applyPeerWork(const EngineReport &report, TimePoint now);
 
     std::map<InstanceName, EngineState> m_engines;
     std::map<PoolName, FirstEventModel> m_models;
-    std::map<GenerationNumber, Waiting> m_waiting;
-    std::deque<News> m_news;
-    /*! @brief Incarnation and highest sequence heard of each process, and the engines that it has work at. */
-    std::map<InstanceName, std::pair<std::uint64_t, std::uint64_t>> m_heard;
-    std::map<InstanceName, std::set<InstanceName>> m_workOf;
+    std::map<GenerationNumber, PendingGeneration> m_pending;
+    std::deque<RecentPlacement> m_recentPlacements;
+    /*! @brief Incarnation and sequence of the latest report of each peer. */
+    std::map<InstanceName, std::pair<std::uint64_t, std::uint64_t>> m_lastPositions;
+    /*! @brief Engines at which each peer has pending tokens. */
+    std::map<InstanceName, std::set<InstanceName>> m_reportedEngines;
     std::uint64_t m_sequence{};
 };
 
--- a/src/bergamottide/engines/fwd.h
+++ b/src/bergamottide/engines/fwd.h
@@ -2,7 +2,7 @@
 
 /**
  * @file
- * @brief Types of the module `engines`: what is known of the model engines, and which of them a generation goes to.
+ * @brief Forward declarations of the module `engines`, which places generations on model engines.
  */
 namespace bergamottide::engines {
 
@@ -18,7 +18,7 @@
 struct EngineChoice;
 struct GenerationNeeds;
 
-class KeptParts;
+class PrefixCacheModel;
 class PrefillBacklog;
 class FirstEventModel;
 class EngineTable;
--- a/src/bergamottide/engines/prefillbacklog.h
+++ b/src/bergamottide/engines/prefillbacklog.h
@@ -8,67 +8,66 @@
 
 namespace bergamottide::engines {
 
-/*! @brief One generation at an engine, as the process that sent it numbers it. */
+/*! @brief Id of a generation, unique within the process that sent it; increases. */
 enum class GenerationNumber : std::uint64_t
 {
 };
 
 /**
- * @brief Prompt tokens that one engine has yet to read: of generations that were sent to it and have no first event.
+ * @brief Pending prompt tokens at one engine: those of generations without a first event.
  *
- * The engine reads prompts one after the other. What it has read of the one in front shows only by its first event, so
- * it is estimated from the time that has passed.
+ * The engine prefills prompts one after the other. The progress of the first one is estimated from the elapsed time.
  */
 class PrefillBacklog
 {
 public:
     /**
-     * @brief Notes a generation that this process has sent.
-     * @param generation Its number.
-     * @param tokens Tokens that the engine reads for it.
-     * @param now Present time.
+     * @brief Adds a generation that this process has sent.
+     * @param generation Number of the generation.
+     * @param tokens Tokens to prefill.
+     * @param now Current time.
      */
-    void sent(GenerationNumber generation, std::uint64_t tokens, TimePoint now);
+    void add(GenerationNumber generation, std::uint64_t tokens, TimePoint now);
 
-    /*! @brief Notes that the prompt of a generation has been read, or that it has ended. */
-    void read(GenerationNumber generation, TimePoint now);
+    /*! @brief Removes a generation whose prefill is complete, or that has ended. */
+    void remove(GenerationNumber generation, TimePoint now);
 
     /**
-     * @brief Notes what a peer tells of its own generations; replaces what it told before.
+     * @brief Sets the pending tokens of a peer's generations.
      * @param peer Peer.
-     * @param tokens Tokens that the engine has yet to read for it.
-     * @param now Present time.
+     * @param tokens Tokens from its latest report; zero removes the peer.
+     * @param now Current time.
      */
-    void told(const InstanceName &peer, std::uint64_t tokens, TimePoint now);
+    void setPeerTokens(const InstanceName &peer, std::uint64_t tokens, TimePoint now);
 
     /**
-     * @brief Estimates the tokens of this process's generations that are unread.
-     * @param tokensPerSecond Speed at which the engine reads.
-     * @param now Present time.
+     * @brief Estimates the pending tokens of this process's generations.
+     * @param tokensPerSecond Prefill rate of the engine.
+     * @param now Current time.
      */
-    [[nodiscard]] double own(double tokensPerSecond, TimePoint now) const;
+    [[nodiscard]] double ownTokens(double tokensPerSecond, TimePoint now) const;
 
     /**
-     * @brief Estimates the tokens of all generations that are unread.
-     * @param tokensPerSecond Speed at which the engine reads.
-     * @param now Present time.
+     * @brief Estimates the pending tokens of all generations, including those of peers.
+     * @param tokensPerSecond Prefill rate of the engine.
+     * @param now Current time.
      */
-    [[nodiscard]] double all(double tokensPerSecond, TimePoint now) const;
+    [[nodiscard]] double totalTokens(double tokensPerSecond, TimePoint now) const;
 
     /*! @brief Returns the number of this process's generations without a first event. */
-    [[nodiscard]] std::size_t waiting() const noexcept;
+    [[nodiscard]] std::size_t size() const noexcept;
 
 private:
-    struct Told
+    struct PeerBacklog
     {
         std::uint64_t tokens{};
         TimePoint at{};
     };
 
-    std::map<GenerationNumber, std::uint64_t> m_own;
-    /*! @brief When the prompt in front began to be read. */
+    std::map<GenerationNumber, std::uint64_t> m_tokens;
+    /*! @brief Start of the prefill of the first generation. */
     TimePoint m_frontSince{};
-    std::map<InstanceName, Told> m_told;
+    std::map<InstanceName, PeerBacklog> m_peers;
 };
 
 } // namespace bergamottide::engines
--- a/src/bergamottide/engines/promptchain.h
+++ b/src/bergamottide/engines/promptchain.h
@@ -7,33 +7,33 @@
 
 namespace bergamottide::engines {
 
-/*! @brief One part of a prompt that requests share, in the order in which it is read. */
+/*! @brief Part of a prompt that may be shared between requests, such as a system prompt or a document. */
 struct PromptPart
 {
     std::string id;
     std::uint64_t tokens{};
 };
 
-/*! @brief One part of a prompt together with all parts before it. */
+/*! @brief Prefix of a prompt that ends with a certain part. */
 struct ChainLink
 {
-    /*! @brief Digest of the model and of all parts up to this one: an engine reuses a part only behind the same ones.
-     */
+    /*! @brief Hash of the model and of all parts up to this one, since a part is only reused after the same prefix. */
     std::uint64_t digest{};
-    /*! @brief Tokens of this part. */
+    /*! @brief Tokens of the last part. */
     std::uint64_t tokens{};
 };
 
+/*! @brief Prefixes of a prompt in increasing length. */
 using PromptChain = std::vector<ChainLink>;
 
 /**
- * @brief Returns the links of a prompt.
- * @param model Name of the model; what was read for one is of no use for another.
- * @param prompt Parts in the order in which they are read.
+ * @brief Computes the hash chain of a prompt.
+ * @param model Name of the model; cached prefixes can't be shared between models.
+ * @param prompt Parts of the prompt, in order.
  */
 [[nodiscard]] PromptChain chainOf(std::string_view model, const std::vector<PromptPart> &prompt);
 
-/*! @brief Returns the tokens of all links. */
+/*! @brief Returns the sum of the tokens of all links. */
 [[nodiscard]] std::uint64_t tokensOf(const PromptChain &chain);
 
 } // namespace bergamottide::engines
--- a/test/bergamottide/engines/engineload.cpp
+++ b/test/bergamottide/engines/engineload.cpp
@@ -9,55 +9,55 @@
 using bergamottide::test::EngineLoadOptions;
 using bergamottide::test::EngineLoadOutcome;
 
-/*! @brief Placement of generations under loads of long shared prompts, measured by what callers see. */
+/*! @brief Placement of generations with long shared prompts, in a simulation of the engines. */
 class EngineLoadTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EngineLoadTest);
-    CPPUNIT_TEST(longSharedPromptsAreOnTimeInABurst);
-    CPPUNIT_TEST(partsThatAnotherProcessPlacedAreNotReadAgain);
-    CPPUNIT_TEST(partOfABusyEngineIsFetchedInsteadOfReadAgain);
-    CPPUNIT_TEST(hotPartSpreadsOverSeveralEngines);
+    CPPUNIT_TEST(longSharedPromptsMeetObjectiveDuringBurst);
+    CPPUNIT_TEST(reportsOfPeersAvoidRecomputation);
+    CPPUNIT_TEST(cachedPrefixOfBusyEngineIsFetched);
+    CPPUNIT_TEST(hotPrefixSpreadsOverSeveralEngines);
     CPPUNIT_TEST(slowEngineGetsFewGenerations);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void longSharedPromptsAreOnTimeInABurst()
+    void longSharedPromptsMeetObjectiveDuringBurst()
     {
         EngineLoadOptions options = designStudioLoad();
-        options.kinds[0].perSecond *= 2.0;
-        const EngineLoadOutcome byCost = play(options, pickEngine);
-        const EngineLoadOutcome byCount = play(options, test::placeByCount);
+        options.kinds[0].requestsPerSecond *= 2.0;
+        const EngineLoadOutcome byCost = simulate(options, pickEngine);
+        const EngineLoadOutcome byCount = simulate(options, test::pickByRequestCount);
         CPPUNIT_ASSERT(byCost.onTimeShare() > 0.9);
         CPPUNIT_ASSERT(byCost.onTimeShare() > byCount.onTimeShare() + 0.1);
     }
 
-    void partsThatAnotherProcessPlacedAreNotReadAgain()
+    void reportsOfPeersAvoidRecomputation()
     {
         EngineLoadOptions options = designStudioLoad();
-        const EngineLoadOutcome told = play(options, pickEngine);
-        options.isTold = false;
-        const EngineLoadOutcome untold = play(options, pickEngine);
-        CPPUNIT_ASSERT(told.readAgain * 5 < untold.readAgain);
-        CPPUNIT_ASSERT(told.readAgain * 20 < told.read);
+        const EngineLoadOutcome withReports = simulate(options, pickEngine);
+        options.exchangesReports = false;
+        const EngineLoadOutcome withoutReports = simulate(options, pickEngine);
+        CPPUNIT_ASSERT(withReports.recomputedTokens * 5 < withoutReports.recomputedTokens);
+        CPPUNIT_ASSERT(withReports.recomputedTokens * 20 < withReports.prefilledTokens);
     }
 
-    void partOfABusyEngineIsFetchedInsteadOfReadAgain()
+    void cachedPrefixOfBusyEngineIsFetched()
     {
         EngineLoadOptions options = designStudioLoad();
-        options.kinds[0].perSecond *= 2.0;
-        const EngineLoadOutcome fetching = play(options, pickEngine);
+        options.kinds[0].requestsPerSecond *= 2.0;
+        const EngineLoadOutcome withFetching = simulate(options, pickEngine);
         options.fetchRate = 0.0;
-        const EngineLoadOutcome reading = play(options, pickEngine);
-        CPPUNIT_ASSERT(fetching.fetched > 0);
-        CPPUNIT_ASSERT(fetching.read < reading.read);
-        CPPUNIT_ASSERT(fetching.kinds.at("draft").seconds < reading.kinds.at("draft").seconds);
+        const EngineLoadOutcome withoutFetching = simulate(options, pickEngine);
+        CPPUNIT_ASSERT(withFetching.fetchedTokens > 0);
+        CPPUNIT_ASSERT(withFetching.prefilledTokens < withoutFetching.prefilledTokens);
+        CPPUNIT_ASSERT(withFetching.kinds.at("draft").totalSeconds < withoutFetching.kinds.at("draft").totalSeconds);
     }
 
-    void hotPartSpreadsOverSeveralEngines()
+    void hotPrefixSpreadsOverSeveralEngines()
     {
         EngineLoadOptions options = designStudioLoad();
         options.kinds = {{"hot", 60.0, 1, 13'300, 3'720, std::chrono::milliseconds{800}}};
-        const EngineLoadOutcome outcome = play(options, pickEngine);
+        const EngineLoadOutcome outcome = simulate(options, pickEngine);
         CPPUNIT_ASSERT(outcome.onTimeShare() > 0.95);
     }
 
@@ -65,24 +65,24 @@
     {
         EngineLoadOptions options = designStudioLoad();
         options.slowness = 5.0;
-        const EngineLoadOutcome outcome = play(options, pickEngine);
+        const EngineLoadOutcome outcome = simulate(options, pickEngine);
         CPPUNIT_ASSERT(outcome.onTimeShare() > 0.85);
     }
 
 private:
-    static EngineLoadOutcome play(const EngineLoadOptions &options, const EngineLoad::Policy &policy)
+    static EngineLoadOutcome simulate(const EngineLoadOptions &options, const EngineLoad::Policy &policy)
     {
         EngineLoadOutcome sum;
         for (const std::uint64_t seed : {1, 2, 3}) {
-            const EngineLoadOutcome one = EngineLoad{options, policy, seed}.play();
+            const EngineLoadOutcome one = EngineLoad{options, policy, seed}.simulate();
             for (const auto &[name, kind] : one.kinds) {
                 sum.kinds[name].requests += kind.requests;
                 sum.kinds[name].onTime += kind.onTime;
-                sum.kinds[name].seconds += kind.seconds;
+                sum.kinds[name].totalSeconds += kind.totalSeconds;
             }
-            sum.read += one.read;
-            sum.readAgain += one.readAgain;
-            sum.fetched += one.fetched;
+            sum.prefilledTokens += one.prefilledTokens;
+            sum.recomputedTokens += one.recomputedTokens;
+            sum.fetchedTokens += one.fetchedTokens;
         }
         return sum;
     }
--- a/test/bergamottide/engines/enginetable.cpp
+++ b/test/bergamottide/engines/enginetable.cpp
@@ -7,23 +7,23 @@
 using namespace bergamottide::engines;
 using std::chrono::milliseconds;
 
-/*! @brief What a process believes of engines: what they keep, have yet to read, and how fast they are. */
+/*! @brief Estimated caches, backlogs and speeds of engines, and the placement based on them. */
 class EngineTableTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EngineTableTest);
-    CPPUNIT_TEST(keptPartsCountFromTheFirstOn);
-    CPPUNIT_TEST(partsUsedLongestAgoYield);
-    CPPUNIT_TEST(samePartsOfAnotherModelAreNotKept);
-    CPPUNIT_TEST(backlogShrinksWhileThePromptInFrontIsRead);
-    CPPUNIT_TEST(toldWorkIsReplacedByTheNextReport);
-    CPPUNIT_TEST(olderReportThatComesLaterIsPassedOver);
-    CPPUNIT_TEST(peerThatStartsAnewIsHeardAgain);
-    CPPUNIT_TEST(engineThatStartsAnewKeepsNothing);
-    CPPUNIT_TEST(engineThatIsNoLongerListedIsForgotten);
-    CPPUNIT_TEST(promptGoesWhereItsPartsAreKept);
-    CPPUNIT_TEST(promptLeavesABusyEngineThatKeepsItsParts);
+    CPPUNIT_TEST(countsCachedLinksFromTheStart);
+    CPPUNIT_TEST(evictsLeastRecentlyUsedParts);
+    CPPUNIT_TEST(modelsDoNotSharePrefixes);
+    CPPUNIT_TEST(backlogDecreasesDuringPrefill);
+    CPPUNIT_TEST(reportReplacesPendingTokensOfPeer);
+    CPPUNIT_TEST(ignoresOutdatedReport);
+    CPPUNIT_TEST(acceptsReportsOfRestartedPeer);
+    CPPUNIT_TEST(restartedEngineHasEmptyCache);
+    CPPUNIT_TEST(unlistedEngineIsRemoved);
+    CPPUNIT_TEST(promptGoesToEngineThatCachesItsPrefix);
+    CPPUNIT_TEST(promptAvoidsBusyEngineThatCachesItsPrefix);
     CPPUNIT_TEST(excludedEngineIsNotChosen);
-    CPPUNIT_TEST(firstEventTimesAreLearnt);
+    CPPUNIT_TEST(learnsTimesToFirstEvents);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -32,78 +32,78 @@
         m_table.setEngines({listing("a", 1), listing("b", 1)});
     }
 
-    void keptPartsCountFromTheFirstOn()
+    void countsCachedLinksFromTheStart()
     {
-        KeptParts kept;
-        kept.note(chain({"s", "t"}), 0, m_now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, kept.keptLinks(chain({"s", "t", "u"})));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, kept.keptLinks(chain({"s", "u"})));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, kept.keptLinks(chain({"t"})));
+        PrefixCacheModel cache;
+        cache.insert(chain({"s", "t"}), 0, m_now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, cache.cachedLinks(chain({"s", "t", "u"})));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cache.cachedLinks(chain({"s", "u"})));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, cache.cachedLinks(chain({"t"})));
     }
 
-    void partsUsedLongestAgoYield()
+    void evictsLeastRecentlyUsedParts()
     {
-        KeptParts kept;
-        kept.note(chain({"s", "t"}), 300, m_now);
-        kept.note(chain({"s", "u"}), 300, m_now);
-        kept.note(chain({"s", "v"}), 300, m_now);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{300}, kept.tokens());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, kept.keptLinks(chain({"s", "t"})));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, kept.keptLinks(chain({"s", "u"})));
+        PrefixCacheModel cache;
+        cache.insert(chain({"s", "t"}), 300, m_now);
+        cache.insert(chain({"s", "u"}), 300, m_now);
+        cache.insert(chain({"s", "v"}), 300, m_now);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{300}, cache.tokens());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cache.cachedLinks(chain({"s", "t"})));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, cache.cachedLinks(chain({"s", "u"})));
     }
 
-    void samePartsOfAnotherModelAreNotKept()
+    void modelsDoNotSharePrefixes()
     {
-        KeptParts kept;
-        kept.note(chainOf("one", {{"s", 100}}), 0, m_now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, kept.keptLinks(chainOf("other", {{"s", 100}})));
+        PrefixCacheModel cache;
+        cache.insert(chainOf("one", {{"s", 100}}), 0, m_now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, cache.cachedLinks(chainOf("other", {{"s", 100}})));
     }
 
-    void backlogShrinksWhileThePromptInFrontIsRead()
+    void backlogDecreasesDuringPrefill()
     {
         PrefillBacklog backlog;
-        backlog.sent(GenerationNumber{1}, 1000, m_now);
-        backlog.sent(GenerationNumber{2}, 500, m_now);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1500.0, backlog.all(1000.0, m_now), 1e-6);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1100.0, backlog.all(1000.0, m_now + milliseconds{400}), 1e-6);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(500.0, backlog.all(1000.0, m_now + milliseconds{4000}), 1e-6);
-        backlog.read(GenerationNumber{1}, m_now + milliseconds{4000});
-        backlog.read(GenerationNumber{2}, m_now + milliseconds{4000});
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, backlog.all(1000.0, m_now + milliseconds{4000}), 1e-6);
+        backlog.add(GenerationNumber{1}, 1000, m_now);
+        backlog.add(GenerationNumber{2}, 500, m_now);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(1500.0, backlog.totalTokens(1000.0, m_now), 1e-6);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(1100.0, backlog.totalTokens(1000.0, m_now + milliseconds{400}), 1e-6);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(500.0, backlog.totalTokens(1000.0, m_now + milliseconds{4000}), 1e-6);
+        backlog.remove(GenerationNumber{1}, m_now + milliseconds{4000});
+        backlog.remove(GenerationNumber{2}, m_now + milliseconds{4000});
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, backlog.totalTokens(1000.0, m_now + milliseconds{4000}), 1e-6);
     }
 
-    void toldWorkIsReplacedByTheNextReport()
+    void reportReplacesPendingTokensOfPeer()
     {
         m_table.told({InstanceName{"peer"}, 1, 1, {{InstanceName{"a"}, 1000}}, {}}, m_now);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1000.0, m_table.find(InstanceName{"a"})->backlog.all(1.0, m_now), 1.0);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(1000.0, m_table.find(InstanceName{"a"})->backlog.totalTokens(1.0, m_now), 1.0);
         m_table.told({InstanceName{"peer"}, 1, 2, {{InstanceName{"b"}, 10}}, {}}, m_now);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, m_table.find(InstanceName{"a"})->backlog.all(1.0, m_now), 1.0);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, m_table.find(InstanceName{"a"})->backlog.totalTokens(1.0, m_now), 1.0);
     }
 
-    void olderReportThatComesLaterIsPassedOver()
+    void ignoresOutdatedReport()
     {
         m_table.told({InstanceName{"peer"}, 1, 2, {{InstanceName{"a"}, 1000}}, {}}, m_now);
         m_table.told({InstanceName{"peer"}, 1, 1, {}, {}}, m_now);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1000.0, m_table.find(InstanceName{"a"})->backlog.all(1.0, m_now), 1.0);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(1000.0, m_table.find(InstanceName{"a"})->backlog.totalTokens(1.0, m_now), 1.0);
     }
 
-    void peerThatStartsAnewIsHeardAgain()
+    void acceptsReportsOfRestartedPeer()
     {
         m_table.told({InstanceName{"peer"}, 1, 900, {}, {}}, m_now);
         m_table.told({InstanceName{"peer"}, 2, 1, {{InstanceName{"a"}, 1000}}, {}}, m_now);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1000.0, m_table.find(InstanceName{"a"})->backlog.all(1.0, m_now), 1.0);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(1000.0, m_table.find(InstanceName{"a"})->backlog.totalTokens(1.0, m_now), 1.0);
     }
 
-    void engineThatStartsAnewKeepsNothing()
+    void restartedEngineHasEmptyCache()
     {
         send("a", chain({"s"}));
         m_table.setEngines({listing("a", 1), listing("b", 1)});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_table.find(InstanceName{"a"})->kept.keptLinks(chain({"s"})));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_table.find(InstanceName{"a"})->prefixCache.cachedLinks(chain({"s"})));
         m_table.setEngines({listing("a", 2), listing("b", 1)});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_table.find(InstanceName{"a"})->kept.keptLinks(chain({"s"})));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_table.find(InstanceName{"a"})->prefixCache.cachedLinks(chain({"s"})));
     }
 
-    void engineThatIsNoLongerListedIsForgotten()
+    void unlistedEngineIsRemoved()
     {
         m_table.setEngines({listing("b", 1)});
         CPPUNIT_ASSERT(m_table.find(InstanceName{"a"}) == nullptr);
@@ -112,13 +112,13 @@
         CPPUNIT_ASSERT(m_table.find(InstanceName{"a"}) == nullptr);
     }
 
-    void promptGoesWhereItsPartsAreKept()
+    void promptGoesToEngineThatCachesItsPrefix()
     {
-        const PromptChain long1 = chainOf("m", {{"s", 10'000}, {"x", 100}});
+        const PromptChain longPrompt = chainOf("m", {{"s", 10'000}, {"x", 100}});
         for (const char *engine : {"a", "b"}) {
             m_table = {};
             setUp();
-            send(engine, long1);
+            send(engine, longPrompt);
             m_now += milliseconds{1};
             m_table.began(GenerationNumber{1}, m_now);
             const auto choice = pick(chainOf("m", {{"s", 10'000}, {"y", 100}}));
@@ -127,31 +127,31 @@
         }
     }
 
-    void promptLeavesABusyEngineThatKeepsItsParts()
+    void promptAvoidsBusyEngineThatCachesItsPrefix()
     {
         send("a", chainOf("m", {{"s", 10'000}, {"x", 100}}));
         m_table.began(GenerationNumber{1}, m_now);
         m_table.told({InstanceName{"peer"}, 1, 1, {{InstanceName{"a"}, 200'000}}, {}}, m_now);
-        const auto reading = pick(chainOf("m", {{"s", 10'000}, {"y", 100}}));
-        CPPUNIT_ASSERT_EQUAL(std::string{"b"}, reading->engine.text());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'100}, reading->toRead);
-        const auto fetching = pick(chainOf("m", {{"s", 10'000}, {"y", 100}}), 2e6);
-        CPPUNIT_ASSERT_EQUAL(std::string{"b"}, fetching->engine.text());
-        CPPUNIT_ASSERT_EQUAL(std::string{"a"}, fetching->fetchFrom.text());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, fetching->toRead);
+        const auto withoutFetch = pick(chainOf("m", {{"s", 10'000}, {"y", 100}}));
+        CPPUNIT_ASSERT_EQUAL(std::string{"b"}, withoutFetch->engine.text());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'100}, withoutFetch->toRead);
+        const auto withFetch = pick(chainOf("m", {{"s", 10'000}, {"y", 100}}), 2e6);
+        CPPUNIT_ASSERT_EQUAL(std::string{"b"}, withFetch->engine.text());
+        CPPUNIT_ASSERT_EQUAL(std::string{"a"}, withFetch->fetchFrom.text());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, withFetch->toRead);
     }
 
     void excludedEngineIsNotChosen()
     {
         const PromptChain prompt = chain({"s"});
-        const GenerationNeeds needs{PoolName{"p"}, prompt, "1", {}, 0, 0.0};
+        const GenerationNeeds query{PoolName{"p"}, prompt, "1", {}, 0, 0.0};
         const auto choice =
-            pickEngine(m_table, {{InstanceName{"a"}, {}, 0, true}, {InstanceName{"b"}, {}, 0, false}}, needs, m_now);
+            pickEngine(m_table, {{InstanceName{"a"}, {}, 0, true}, {InstanceName{"b"}, {}, 0, false}}, query, m_now);
         CPPUNIT_ASSERT_EQUAL(std::string{"b"}, choice->engine.text());
-        CPPUNIT_ASSERT(!pickEngine(m_table, {{InstanceName{"a"}, {}, 0, true}}, needs, m_now));
+        CPPUNIT_ASSERT(!pickEngine(m_table, {{InstanceName{"a"}, {}, 0, true}}, query, m_now));
     }
 
-    void firstEventTimesAreLearnt()
+    void learnsTimesToFirstEvents()
     {
         FirstEventModel times;
         for (int sample = 0; sample < 200; ++sample) {
@@ -186,8 +186,8 @@
 
     std::optional<EngineChoice> pick(const PromptChain &prompt, double fetchRate = 0.0)
     {
-        const GenerationNeeds needs{PoolName{"p"}, prompt, "1", {}, 0, fetchRate};
-        return pickEngine(m_table, {{InstanceName{"a"}, {}, 0, false}, {InstanceName{"b"}, {}, 0, false}}, needs,
+        const GenerationNeeds query{PoolName{"p"}, prompt, "1", {}, 0, fetchRate};
+        return pickEngine(m_table, {{InstanceName{"a"}, {}, 0, false}, {InstanceName{"b"}, {}, 0, false}}, query,
                           m_now);
     }
 
--- a/test/support/engineload.cpp
+++ b/test/support/engineload.cpp
@@ -37,25 +37,25 @@
     , m_random{seed}
     , m_tables(m_options.processes)
 {
-    std::vector<EngineListing> list;
+    std::vector<EngineListing> listings;
     for (std::uint32_t index = 0; index < m_options.engines; ++index) {
         Engine engine;
         engine.name = InstanceName{"engine-" + std::to_string(index)};
         engine.zone = ZoneName{"zone-" + std::to_string(index % m_options.zones)};
         engine.slowness = index % 3 == 2 ? m_options.slowness : 1.0;
-        list.push_back({engine.name, PoolName{"engines"}, 1, m_options.capacity});
+        listings.push_back({engine.name, PoolName{"engines"}, 1, m_options.capacity});
         m_engines.push_back(std::move(engine));
     }
     for (EngineTable &table : m_tables) {
-        table.setEngines(list);
+        table.setEngines(listings);
     }
 }
 
-EngineLoadOutcome EngineLoad::play()
+EngineLoadOutcome EngineLoad::simulate()
 {
     double total = 0.0;
     for (const PromptKind &kind : m_options.kinds) {
-        total += kind.perSecond;
+        total += kind.requestsPerSecond;
     }
     const TimePoint end = m_now + m_options.length;
     TimePoint reportAt = m_now;
@@ -63,19 +63,19 @@
         const TimePoint arrival = m_now + fromSeconds(-std::log(1.0 - uniform()) / total);
         for (; reportAt <= arrival; reportAt += reportPeriod) {
             m_now = reportAt;
-            deliver();
-            exchange();
+            deliverFirstEvents();
+            exchangeReports();
         }
         m_now = arrival;
-        deliver();
+        deliverFirstEvents();
         double drawn = uniform() * total;
         const PromptKind *chosen = &m_options.kinds.back();
         for (const PromptKind &kind : m_options.kinds) {
-            if (drawn < kind.perSecond) {
+            if (drawn < kind.requestsPerSecond) {
                 chosen = &kind;
                 break;
             }
-            drawn -= kind.perSecond;
+            drawn -= kind.requestsPerSecond;
         }
         arrive(*chosen);
     }
@@ -85,7 +85,7 @@
 void EngineLoad::arrive(const PromptKind &kind)
 {
     const auto part = static_cast<std::uint32_t>(uniform() * kind.sharedParts);
-    // Lengths differ by a factor of two either way, as prompts' do.
+    // The length of the own part varies by a factor of two in both directions.
     const double length = std::exp2(2.0 * uniform() - 1.0);
     const std::string shared = kind.name + std::to_string(part);
     const std::vector<PromptPart> prompt{
@@ -98,50 +98,51 @@
         candidates.push_back({engine.name, engine.zone, 0, false});
     }
     const std::string attempt = std::to_string(m_next);
-    const GenerationNeeds needs{PoolName{"engines"}, chain, attempt, {}, 0, m_options.fetchRate};
-    if (const auto choice = m_policy(m_tables[process], candidates, needs, m_now)) {
-        run(kind, chain, process, *choice);
+    const GenerationNeeds query{PoolName{"engines"}, chain, attempt, {}, 0, m_options.fetchRate};
+    if (const auto choice = m_policy(m_tables[process], candidates, query, m_now)) {
+        startGeneration(kind, chain, process, *choice);
     }
 }
 
-void EngineLoad::run(const PromptKind &kind, const PromptChain &chain, std::size_t process, const EngineChoice &choice)
+void EngineLoad::startGeneration(const PromptKind &kind, const PromptChain &chain, std::size_t process,
+                                 const EngineChoice &choice)
 {
     const GenerationNumber number{m_next++};
     m_tables[process].sent({number, choice.engine, chain, choice.toRead, choice.ahead, choice.expected}, m_now);
     Engine &engine = engineOf(choice.engine);
     const TimePoint start = std::max(m_now, engine.busyUntil);
-    std::size_t kept = engine.kept.keptLinks(chain);
+    std::size_t cachedLinks = engine.prefixCache.cachedLinks(chain);
     double transfer = 0.0;
     if (!choice.fetchFrom.empty()) {
-        const std::size_t other = engineOf(choice.fetchFrom).kept.readLinks(chain, start);
-        for (; kept < other; ++kept) {
-            m_outcome.fetched += chain[kept].tokens;
-            transfer += static_cast<double>(chain[kept].tokens) / m_options.fetchRate;
+        const std::size_t readyAtSource = engineOf(choice.fetchFrom).prefixCache.readyLinks(chain, start);
+        for (; cachedLinks < readyAtSource; ++cachedLinks) {
+            m_outcome.fetchedTokens += chain[cachedLinks].tokens;
+            transfer += static_cast<double>(chain[cachedLinks].tokens) / m_options.fetchRate;
         }
     }
-    std::uint64_t toRead = 0;
-    for (std::size_t index = kept; index < chain.size(); ++index) {
-        toRead += chain[index].tokens;
-        const bool isKeptAnywhere = std::ranges::any_of(m_engines, [&chain, index, start](const Engine &other) {
-            return other.kept.readLinks(chain, start) > index;
+    std::uint64_t prefillTokens = 0;
+    for (std::size_t index = cachedLinks; index < chain.size(); ++index) {
+        prefillTokens += chain[index].tokens;
+        const bool isCachedAnywhere = std::ranges::any_of(m_engines, [&chain, index, start](const Engine &other) {
+            return other.prefixCache.readyLinks(chain, start) > index;
         });
-        m_outcome.readAgain += isKeptAnywhere ? chain[index].tokens : 0;
+        m_outcome.recomputedTokens += isCachedAnywhere ? chain[index].tokens : 0;
     }
-    m_outcome.read += toRead;
+    m_outcome.prefilledTokens += prefillTokens;
     engine.busyUntil =
-        start + fromSeconds(transfer + engine.slowness * static_cast<double>(toRead) / m_options.readSpeed);
-    engine.kept.note(chain, m_options.capacity, engine.busyUntil);
-    const TimePoint first = engine.busyUntil + m_options.firstEvent;
+        start + fromSeconds(transfer + engine.slowness * static_cast<double>(prefillTokens) / m_options.prefillRate);
+    engine.prefixCache.insert(chain, m_options.capacity, engine.busyUntil);
+    const TimePoint first = engine.busyUntil + m_options.firstEventDelay;
     m_events.push({first, process, number});
     KindOutcome &outcome = m_outcome.kinds[kind.name];
     ++outcome.requests;
     outcome.onTime += first - m_now <= kind.objective ? 1 : 0;
-    outcome.seconds += std::chrono::duration<double>(first - m_now).count();
+    outcome.totalSeconds += std::chrono::duration<double>(first - m_now).count();
 }
 
-void EngineLoad::exchange()
+void EngineLoad::exchangeReports()
 {
-    if (!m_options.isTold) {
+    if (!m_options.exchangesReports) {
         return;
     }
     for (std::size_t from = 0; from < m_tables.size(); ++from) {
@@ -154,7 +155,7 @@
     }
 }
 
-void EngineLoad::deliver()
+void EngineLoad::deliverFirstEvents()
 {
     while (!m_events.empty() && m_events.top().at <= m_now) {
         const FirstEvent event = m_events.top();
@@ -174,8 +175,8 @@
     return *std::ranges::find(m_engines, name, &Engine::name);
 }
 
-std::optional<EngineChoice> placeByCount(EngineTable &table, const std::vector<EngineCandidate> &candidates,
-                                         const GenerationNeeds &needs, TimePoint /*now*/)
+std::optional<EngineChoice> pickByRequestCount(EngineTable &table, const std::vector<EngineCandidate> &candidates,
+                                               const GenerationNeeds &query, TimePoint /*now*/)
 {
     constexpr double factor = 1.5;
     constexpr double allowance = 4.0;
@@ -183,14 +184,14 @@
     double sum = 0.0;
     for (const EngineCandidate &candidate : candidates) {
         const std::string &name = candidate.engine.text();
-        ranked.emplace_back(XXH3_64bits_withSeed(name.data(), name.size(), needs.chain.front().digest),
+        ranked.emplace_back(XXH3_64bits_withSeed(name.data(), name.size(), query.chain.front().digest),
                             candidate.engine);
-        sum += static_cast<double>(table.find(candidate.engine)->backlog.waiting());
+        sum += static_cast<double>(table.find(candidate.engine)->backlog.size());
     }
     std::ranges::sort(ranked, std::greater<>{});
     const double bound = factor * sum / static_cast<double>(candidates.size()) + allowance;
     for (const auto &[rank, engine] : ranked) {
-        if (static_cast<double>(table.find(engine)->backlog.waiting()) <= bound) {
+        if (static_cast<double>(table.find(engine)->backlog.size()) <= bound) {
             return EngineChoice{engine, {}, 0, 0.0, {}};
         }
     }
--- a/test/support/engineload.h
+++ b/test/support/engineload.h
@@ -13,45 +13,45 @@
 
 namespace bergamottide::test {
 
-/*! @brief Requests of one kind, all with one part that they share with some others, and a part of their own. */
+/*! @brief Kind of requests; each prompt consists of a shared part and a part of its own. */
 struct PromptKind
 {
     std::string name;
-    double perSecond{};
-    /*! @brief Parts that the requests share, and tokens of each. */
+    double requestsPerSecond{};
+    /*! @brief Number of different shared parts, and tokens of each. */
     std::uint32_t sharedParts{1};
     std::uint64_t sharedTokens{};
     std::uint64_t ownTokens{};
     Duration objective{};
 };
 
-/*! @brief A fleet of engines and of processes that send generations to them. */
+/*! @brief Simulated engines, the processes that send generations to them, and the load. */
 struct EngineLoadOptions
 {
     std::uint32_t engines{18};
     std::uint32_t processes{4};
     std::uint32_t zones{4};
-    /*! @brief Tokens that an engine of common speed reads in a second, beside the tokens that it generates. */
-    double readSpeed{38'000.0};
-    /*! @brief Time from the end of the reading to the first event. */
-    Duration firstEvent{std::chrono::milliseconds{90}};
+    /*! @brief Prefill rate of an engine of normal speed, in tokens per second. */
+    double prefillRate{38'000.0};
+    /*! @brief Time from the end of the prefill to the first event. */
+    Duration firstEventDelay{std::chrono::milliseconds{90}};
     std::uint64_t capacity{700'000};
     /*! @brief Every third engine is slower by this factor. */
     double slowness{1.3};
-    /*! @brief Speed at which engines fetch from each other, in tokens a second; zero if they cannot. */
+    /*! @brief Rate at which engines fetch cached tokens from each other, in tokens per second; zero if they can't. */
     double fetchRate{2e6};
-    /*! @brief Processes tell each other of their generations. */
-    bool isTold{true};
+    /*! @brief Processes exchange reports on their generations. */
+    bool exchangesReports{true};
     Duration length{std::chrono::seconds{30}};
     std::vector<PromptKind> kinds;
 };
 
-/*! @brief What callers saw of one kind. */
+/*! @brief Results of one kind. */
 struct KindOutcome
 {
     std::uint32_t requests{};
     std::uint32_t onTime{};
-    double seconds{};
+    double totalSeconds{};
 
     [[nodiscard]] double onTimeShare() const noexcept
     {
@@ -59,45 +59,43 @@
     }
 };
 
-/*! @brief What came of a load. */
+/*! @brief Results of a simulation. */
 struct EngineLoadOutcome
 {
     std::map<std::string, KindOutcome> kinds;
-    std::uint64_t read{};
-    /*! @brief Tokens of shared parts that were read although some engine kept them. */
-    std::uint64_t readAgain{};
-    std::uint64_t fetched{};
+    std::uint64_t prefilledTokens{};
+    /*! @brief Prefilled tokens that were cached by some engine. */
+    std::uint64_t recomputedTokens{};
+    std::uint64_t fetchedTokens{};
 
-    /*! @brief Returns the share of all requests whose first event was on time. */
+    /*! @brief Returns the share of requests whose first event met the objective. */
     [[nodiscard]] double onTimeShare() const;
 };
 
 /**
- * @brief Model of continuously batching engines under a virtual clock, driven through the real tables of several
- * processes.
+ * @brief Simulates continuously batching engines with a virtual clock, and several processes with real engine tables.
  *
- * An engine reads one prompt after the other at a constant speed, keeps what it has read until its memory is full, and
- * answers a moment after a prompt is read. Generated tokens take no part: engines that read for a quarter of the time
- * are not slowed by them.
+ * An engine prefills one prompt after the other at a constant rate, caches it, and sends the first event a constant
+ * time after the prefill. The generation of tokens is not simulated.
  */
 class EngineLoad
 {
 public:
-    /*! @brief Chooses an engine for a generation in the name of one process. */
+    /*! @brief Chooses an engine for a generation, with the table of the process that sends it. */
     using Policy = std::function<std::optional<engines::EngineChoice>(
         engines::EngineTable &table, const std::vector<engines::EngineCandidate> &candidates,
         const engines::GenerationNeeds &needs, TimePoint now)>;
 
     /**
-     * @brief Creates an idle fleet.
-     * @param options The fleet and its load.
+     * @brief Creates idle engines.
+     * @param options Engines, processes and load.
      * @param policy Placement.
      * @param seed Seed of the arrivals.
      */
     EngineLoad(EngineLoadOptions options, Policy policy, std::uint64_t seed);
 
-    /*! @brief Plays the load to its end. */
-    [[nodiscard]] EngineLoadOutcome play();
+    /*! @brief Runs the simulation. */
+    [[nodiscard]] EngineLoadOutcome simulate();
 
 private:
     struct Engine
@@ -105,7 +103,7 @@
         InstanceName name;
         ZoneName zone;
         double slowness{1.0};
-        engines::KeptParts kept;
+        engines::PrefixCacheModel prefixCache;
         TimePoint busyUntil{};
         std::uint32_t running{};
     };
@@ -123,10 +121,10 @@
     };
 
     void arrive(const PromptKind &kind);
-    void run(const PromptKind &kind, const engines::PromptChain &chain, std::size_t process,
-             const engines::EngineChoice &choice);
-    void exchange();
-    void deliver();
+    void startGeneration(const PromptKind &kind, const engines::PromptChain &chain, std::size_t process,
+                         const engines::EngineChoice &choice);
+    void exchangeReports();
+    void deliverFirstEvents();
     [[nodiscard]] double uniform();
     [[nodiscard]] Engine &engineOf(const InstanceName &name);
 
@@ -142,14 +140,14 @@
 };
 
 /**
- * @brief Placement that knows nothing of prompts' lengths: the engine that rendezvous hashing prefers for the shared
- * parts, unless it runs well above the mean number of requests.
+ * @brief Baseline placement by number of requests: the first engine in rendezvous order of the shared part that doesn't
+ * exceed a bound relative to the mean number of requests.
  */
-[[nodiscard]] std::optional<engines::EngineChoice> placeByCount(engines::EngineTable &table,
-                                                                const std::vector<engines::EngineCandidate> &candidates,
-                                                                const engines::GenerationNeeds &needs, TimePoint now);
+[[nodiscard]] std::optional<engines::EngineChoice>
+pickByRequestCount(engines::EngineTable &table, const std::vector<engines::EngineCandidate> &candidates,
+                   const engines::GenerationNeeds &needs, TimePoint now);
 
-/*! @brief Whole-page drafts, revisions and captions: long shared prompts beside short ones, as at a design studio. */
+/*! @brief Returns a load of long and short prompts with shared parts, as of a design studio. */
 [[nodiscard]] EngineLoadOptions designStudioLoad();
 
 } // namespace bergamottide::test
