--- a/src/bergamottide/ctl/command.cpp
+++ b/src/bergamottide/ctl/command.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-constexpr std::size_t any = 1000;
+constexpr std::size_t unlimited = 1000;
 
-const Command *find(std::string_view name)
+const Command *findCommand(std::string_view name)
 {
     const auto &all = commands();
-    const auto found = std::find_if(all.begin(), all.end(), [name](const Command &one) { return one.name == name; });
+    const auto found =
+        std::find_if(all.begin(), all.end(), [name](const Command &command) { return command.name == name; });
     return found == all.end() ? nullptr : &*found;
 }
 
@@ -25,9 +26,9 @@
 const std::vector<Command> &commands()
 {
     static const std::vector<Command> table{
-        {"validate", "DOCUMENT", "Checks a configuration document and reports every mistake.",
+        {"validate", "DOCUMENT", "Checks a configuration document and reports every error.",
          "Exit code 1 if the document is not valid.", 1, 1, validateDocument},
-        {"settings", "SETTINGS", "Checks the settings of a process and reports every mistake.",
+        {"settings", "SETTINGS", "Checks the settings of a process and reports every error.",
          "Exit code 1 if the settings are not valid.", 1, 1, validateSettings},
         {"diff", "OLD NEW", "Shows the sections that differ between two documents.",
          "Exit code 1 if the documents differ.", 2, 2, diffDocuments},
@@ -35,20 +36,20 @@
          showDocument},
         {"reference", "document|settings|metrics", "Writes the reference of the fields or metrics as Markdown.", "", 1,
          1, showReference},
-        {"explain", "REQUEST LOG...", "Tells the story of one request from the logs of several processes.",
-         "Exit code 1 if no line names the request.", 2, any, explainRequest},
-        {"status", "ADMIN...", "Shows the state of processes by their admin ports, ip:port.", "Needs --key_file.", 1,
-         any, showStatus},
-        {"audit", "ADMIN...", "Merges the audit trails of processes in the order of time.", "Needs --key_file.", 1, any,
+        {"explain", "REQUEST LOG...", "Shows the timeline of one request from the logs of several processes.",
+         "Exit code 1 if no line names the request.", 2, unlimited, explainRequest},
+        {"status", "ADMIN...", "Shows the state of processes, given the ip:port of their admin ports.",
+         "Needs --key_file.", 1, unlimited, showStatus},
+        {"audit", "ADMIN...", "Merges the audit trails of processes in time order.", "Needs --key_file.", 1, unlimited,
          showAudit},
-        {"drain", "ADMIN", "Tells a process to finish what is in progress and leave.", "Needs --key_file.", 1, 1,
-         drainProcess},
-        {"submit", "ENTRY PIPELINE BODY", "Submits one request, its body from a file, and shows the answer.",
+        {"drain", "ADMIN", "Starts a graceful shutdown: the process finishes requests in progress and exits.",
+         "Needs --key_file.", 1, 1, drainProcess},
+        {"submit", "ENTRY PIPELINE BODY", "Submits one request with the body from a file and shows the answer.",
          "Needs --key_file with the key of a workspace; --kind and --deadline are optional.\n"
          "Exit code 1 if the request did not complete.",
          3, 3, submitRequest},
         {"load", "ENTRY PIPELINE BODY",
-         "Submits requests at a steady rate, whether or not earlier ones have ended, and sums up.",
+         "Submits requests at a constant rate, regardless of earlier answers, and prints a summary.",
          "Needs --key_file with the key of a workspace; --rate, --time, --kind and --deadline are optional.\n"
          "--admins with --admin_key_file adds the cost by stage, read from the metrics of sides.\n"
          "Exit code 1 if a request did not complete on time.",
@@ -65,7 +66,7 @@
         out.append(command.doc).append("\n");
     }
     out += "\nOptions:\n"
-           "  --output=text|json   how the answer is written\n"
+           "  --output=text|json   output format\n"
            "  --key_file=FILE      file with the bearer key of the admin port or of a workspace\n"
            "  --admins=A,B         admin ports of sides, for the cost by stage of load\n"
            "  --admin_key_file=F   file with their key\n"
@@ -73,16 +74,16 @@
            "  --deadline=9s        deadline of each request\n"
            "  --rate=10            requests per second of load\n"
            "  --time=10s           time during which load sends\n"
-           "  --timeout=5s         silence after which a process counts as not answering\n"
-           "\nExit codes: 0 yes, 1 no (not valid, different, not completed), 2 wrong command line,\n"
-           "3 a file cannot be read or a process does not answer or refuses the key.\n"
-           "bergamottidectl help COMMAND shows more.\n";
+           "  --timeout=5s         time without data after which a call to a process has failed\n"
+           "\nExit codes: 0 success, 1 negative result (not valid, different, not completed), 2 usage error,\n"
+           "3 a file cannot be read, or a process does not answer or rejects the key.\n"
+           "Run bergamottidectl help COMMAND for details.\n";
     return out;
 }
 
 std::optional<std::string> helpText(std::string_view name)
 {
-    const Command *command = find(name);
+    const Command *command = findCommand(name);
     if (command == nullptr) {
         return std::nullopt;
     }
@@ -99,16 +100,16 @@
     }
     if (arguments.front() == "help") {
         const auto help = arguments.size() < 2 ? std::optional{helpText()} : helpText(arguments[1]);
-        (help ? context.out : context.err) << help.value_or("There is no such command.\n");
+        (help ? context.out : context.err) << help.value_or("Unknown command.\n");
         return help ? ExitCode::Ok : ExitCode::Usage;
     }
-    const Command *command = find(arguments.front());
+    const Command *command = findCommand(arguments.front());
     if (command == nullptr) {
-        context.err << "There is no command '" << arguments.front() << "'.\n" << helpText();
+        context.err << "Unknown command '" << arguments.front() << "'.\n" << helpText();
         return ExitCode::Usage;
     }
     const std::vector<std::string> rest{arguments.begin() + 1, arguments.end()};
-    if (rest.size() < command->leastArguments || rest.size() > command->mostArguments) {
+    if (rest.size() < command->minArguments || rest.size() > command->maxArguments) {
         context.err << helpText(command->name).value_or("");
         return ExitCode::Usage;
     }
--- a/src/bergamottide/ctl/command.h
+++ b/src/bergamottide/ctl/command.h
@@ -16,13 +16,13 @@
 /*! @brief Exit codes of the command line client. */
 enum class ExitCode : std::uint8_t
 {
-    /*! @brief Done; the answer is yes. */
+    /*! @brief Success. */
     Ok,
-    /*! @brief Done; the answer is no: the document is not valid, the documents differ, a request did not complete. */
+    /*! @brief Negative result: the document is not valid, the documents differ, a request did not complete. */
     No,
-    /*! @brief The command line is wrong. */
+    /*! @brief Wrong command line. */
     Usage,
-    /*! @brief A file cannot be read, or a process does not answer or refuses the key. */
+    /*! @brief A file cannot be read, or a process does not answer or rejects the key. */
     Failed
 };
 
@@ -32,7 +32,6 @@
     static constexpr std::array<std::string_view, 4> names{"ok", "no", "usage", "failed"};
 };
 
-/*! @brief How a command writes its answer. */
 enum class OutputFormat : std::uint8_t
 {
     Text,
@@ -45,35 +44,35 @@
     static constexpr std::array<std::string_view, 2> names{"text", "json"};
 };
 
-/*! @brief Options of all commands; each command uses some. */
+/*! @brief Command line options; each command uses some of them. */
 struct ControlOptions
 {
     OutputFormat output{};
-    /*! @brief Bearer key of the admin port or of a workspace; read from a file, never from the command line. */
+    /*! @brief Bearer key of the admin port or of a workspace; read from a file to keep it out of process lists. */
     std::string key;
-    /*! @brief Admin ports of sides from which `load` reads the cost by stage, and their key. */
+    /*! @brief Admin ports of sidecars from which `load` reads the cost by stage, and their key. */
     std::vector<std::string> admins;
     std::string adminKey;
     std::string kind;
-    /*! @brief Deadline of a request with its unit; empty for that of its kind. */
+    /*! @brief Deadline of a request with its unit; empty for the default of its kind. */
     std::string deadline;
     /*! @brief Requests per second of `load`. */
     double rate{10.0};
-    /*! @brief Time during which `load` sends. */
+    /*! @brief Duration of `load`. */
     Duration time{std::chrono::seconds{10}};
-    /*! @brief Silence after which a process counts as not answering. */
+    /*! @brief Time without data after which a call to a process has failed. */
     Duration timeout{std::chrono::seconds{5}};
 };
 
-/*! @brief What a command works with. */
+/*! @brief Options and streams of a command. */
 struct CommandContext
 {
     ControlOptions options;
-    /*! @brief Takes the answer. */
+    /*! @brief Output of the command. */
     std::ostream &out;
-    /*! @brief Takes progress and errors. */
+    /*! @brief Progress and errors. */
     std::ostream &err;
-    /*! @brief Reads a whole file; nothing if it cannot be read. */
+    /*! @brief Returns the content of a file; nothing if it cannot be read. */
     std::function<std::optional<std::string>(const std::string &path)> readFile;
 };
 
@@ -83,27 +82,27 @@
     std::string_view name;
     /*! @brief Arguments as the help shows them. */
     std::string_view arguments;
-    /*! @brief One sentence. */
+    /*! @brief Description in one sentence. */
     std::string_view doc;
-    /*! @brief Further lines of its own help; may be empty. */
+    /*! @brief Further lines for the help of this subcommand; may be empty. */
     std::string_view details;
-    std::size_t leastArguments{};
-    std::size_t mostArguments{};
+    std::size_t minArguments{};
+    std::size_t maxArguments{};
     std::function<ExitCode(const CommandContext &context, const std::vector<std::string> &arguments)> run;
 };
 
 /*! @brief Returns every subcommand, in the order of the help. */
 [[nodiscard]] const std::vector<Command> &commands();
 
-/*! @brief Writes the help of the client. */
+/*! @brief Returns the general help. */
 [[nodiscard]] std::string helpText();
 
-/*! @brief Writes the help of one subcommand; nothing if there is none of that name. */
+/*! @brief Returns the help of a subcommand; nothing if there is no subcommand of that name. */
 [[nodiscard]] std::optional<std::string> helpText(std::string_view name);
 
 /**
  * @brief Runs a subcommand.
- * @param context What it works with.
+ * @param context Options and streams.
  * @param arguments Name of the subcommand and its arguments.
  */
 [[nodiscard]] ExitCode runCommand(const CommandContext &context, const std::vector<std::string> &arguments);
--- a/src/bergamottide/ctl/explain.cpp
+++ b/src/bergamottide/ctl/explain.cpp
@@ -14,8 +14,8 @@
 
 using Json = nlohmann::ordered_json;
 
-/*! @brief One line of a log. */
-struct Entry
+/*! @brief A parsed log line. */
+struct LogEntry
 {
     std::string time;
     std::string instance;
@@ -34,8 +34,8 @@
     }
 };
 
-/*! @brief Reads a line; whatever stands before its JSON is passed over. */
-std::optional<Entry> readEntry(const std::string &line)
+/*! @brief Parses a line; skips any prefix before the JSON object. */
+std::optional<LogEntry> parseLogEntry(const std::string &line)
 {
     const auto brace = line.find('{');
     if (brace == std::string::npos) {
@@ -45,7 +45,7 @@
     if (!json.is_object() || !json.contains("time") || !json.contains("text")) {
         return std::nullopt;
     }
-    Entry entry;
+    LogEntry entry;
     entry.time = json.value("time", "");
     entry.instance = json.value("instance", "");
     entry.severity = json.value("severity", "");
@@ -60,7 +60,7 @@
     return entry;
 }
 
-bool names(const Entry &entry, const std::string &request)
+bool mentionsRequest(const LogEntry &entry, const std::string &request)
 {
     if (entry.field("request") == request) {
         return true;
@@ -69,15 +69,16 @@
     return std::find(list.begin(), list.end(), request) != list.end();
 }
 
-/*! @brief Tells if a line tells what a process believes, not what it does with a request. */
-bool isBelief(const Entry &entry)
+/*! @brief Returns whether a line is about the state of the process, an endpoint or a peer, not about a request. */
+bool isStateChange(const LogEntry &entry)
 {
     return entry.field("request").empty() && entry.field("requests").empty();
 }
 
-std::string textOf(const Entry &entry, bool isStory)
+std::string formatEntry(const LogEntry &entry, bool isAboutRequest)
 {
-    std::string out = absl::StrCat(entry.time, " ", entry.instance, isStory ? "  " : "    (meanwhile) ", entry.text);
+    std::string out =
+        absl::StrCat(entry.time, " ", entry.instance, isAboutRequest ? "  " : "    (meanwhile) ", entry.text);
     for (const auto &[name, value] : entry.fields) {
         if (name != "request" && name != "requests") {
             absl::StrAppend(&out, " ", name, "=", value);
@@ -86,72 +87,73 @@
     return out;
 }
 
-/*! @brief The lines that tell of one request. */
-struct Story
+/*! @brief Processes, endpoints and time span of the lines about one request. */
+struct RequestTrace
 {
     std::set<std::string> instances;
     std::set<std::string> endpoints;
-    std::string from;
-    std::string to;
+    std::string begin;
+    std::string end;
 };
 
-Story storyOf(const std::vector<Entry> &entries, const std::string &request)
+RequestTrace traceRequest(const std::vector<LogEntry> &entries, const std::string &request)
 {
-    Story story;
-    for (const Entry &entry : entries) {
-        if (!names(entry, request)) {
+    RequestTrace trace;
+    for (const LogEntry &entry : entries) {
+        if (!mentionsRequest(entry, request)) {
             continue;
         }
-        story.instances.insert(entry.instance);
-        story.endpoints.insert(entry.field("endpoint"));
-        story.from = story.from.empty() ? entry.time : story.from;
-        story.to = entry.time;
+        trace.instances.insert(entry.instance);
+        trace.endpoints.insert(entry.field("endpoint"));
+        trace.begin = trace.begin.empty() ? entry.time : trace.begin;
+        trace.end = entry.time;
     }
-    story.endpoints.erase("");
-    return story;
+    trace.endpoints.erase("");
+    return trace;
 }
 
-/*! @brief Tells if a belief bears on the story: held by one of its processes, and on its endpoints if on any. */
-bool bearsOn(const Entry &entry, const Story &story)
+/*! @brief Returns whether a state change belongs to a trace: same process and time span, and no other endpoint. */
+bool isRelevant(const LogEntry &entry, const RequestTrace &trace)
 {
     const std::string endpoint = entry.field("endpoint");
-    return isBelief(entry) && story.instances.contains(entry.instance) && entry.time >= story.from
-        && entry.time <= story.to && (endpoint.empty() || story.endpoints.contains(endpoint));
+    return isStateChange(entry) && trace.instances.contains(entry.instance) && entry.time >= trace.begin
+        && entry.time <= trace.end && (endpoint.empty() || trace.endpoints.contains(endpoint));
 }
 
 } // namespace
 
 ExitCode explainRequest(const CommandContext &context, const std::vector<std::string> &arguments)
 {
-    std::vector<Entry> entries;
+    std::vector<LogEntry> entries;
     for (std::size_t index = 1; index < arguments.size(); ++index) {
         const auto text = context.readFile(arguments[index]);
         if (!text) {
-            context.err << arguments[index] << ": cannot be read\n";
+            context.err << arguments[index] << ": The file cannot be read.\n";
             return ExitCode::Failed;
         }
         std::istringstream lines{*text};
         for (std::string line; std::getline(lines, line);) {
-            if (auto entry = readEntry(line)) {
+            if (auto entry = parseLogEntry(line)) {
                 entries.push_back(*std::move(entry));
             }
         }
     }
-    // Times are written so that their order is that of the text; lines of one process keep their order.
+    // Times sort as text; a stable sort keeps the order of lines of one process.
     std::stable_sort(entries.begin(), entries.end(),
-                     [](const Entry &left, const Entry &right) { return left.time < right.time; });
+                     [](const LogEntry &left, const LogEntry &right) { return left.time < right.time; });
     const std::string &request = arguments[0];
-    const Story story = storyOf(entries, request);
-    std::size_t told = 0;
-    for (const Entry &entry : entries) {
-        const bool isStory = names(entry, request);
-        if (isStory || bearsOn(entry, story)) {
-            context.out << textOf(entry, isStory) << "\n";
-            told += isStory ? 1 : 0;
+    const RequestTrace trace = traceRequest(entries, request);
+    std::size_t shown = 0;
+    for (const LogEntry &entry : entries) {
+        const bool isAboutRequest = mentionsRequest(entry, request);
+        if (isAboutRequest || isRelevant(entry, trace)) {
+            context.out << formatEntry(entry, isAboutRequest) << "\n";
+            shown += isAboutRequest ? 1 : 0;
         }
     }
-    if (told == 0) {
-        context.err << "No line names the request: its process may have followed fewer requests at the time.\n";
+    if (shown == 0) {
+        context.err << "No line names the request; the processes may not have logged it, since lines about requests "
+                       "are sampled.\n";
         return ExitCode::No;
     }
     return ExitCode::Ok;
--- a/src/bergamottide/ctl/explain.h
+++ b/src/bergamottide/ctl/explain.h
@@ -8,12 +8,12 @@
 namespace bergamottide {
 
 /**
- * @brief Tells the story of one request from the logs of several processes.
+ * @brief Shows the timeline of one request from the logs of several processes.
  *
- * Shows every line that names the request, in the order of time, and between them what the same processes came to
- * believe meanwhile of the endpoints involved, of the store and of their peers.
+ * Prints every line that names the request, in time order, and in between the state changes that the same processes
+ * logged about the involved endpoints, the store and their peers.
  *
- * @param context What the command works with.
+ * @param context Options and streams of the command.
  * @param arguments Identity of the request, then the files with the logs.
  */
 [[nodiscard]] ExitCode explainRequest(const CommandContext &context, const std::vector<std::string> &arguments);
--- a/src/bergamottide/ctl/load.cpp
+++ b/src/bergamottide/ctl/load.cpp
@@ -15,10 +15,10 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr Duration roundTime = std::chrono::milliseconds{20};
+constexpr Duration pollTimeout = std::chrono::milliseconds{20};
 constexpr Duration progressPeriod = std::chrono::seconds{1};
-/*! @brief Silence after which an answer counts as lost; above the longest deadline allowed. */
-constexpr Duration longestWait = std::chrono::minutes{11};
+/*! @brief Time without data after which an answer counts as lost; exceeds the longest allowed deadline. */
+constexpr Duration answerTimeout = std::chrono::minutes{11};
 
 double milliseconds(Duration duration)
 {
@@ -34,16 +34,16 @@
     return "status_" + std::to_string(answer.status);
 }
 
-/*! @brief One run of a load. */
-class LoadRun
+/*! @brief Sends requests at a constant rate and collects the answers. */
+class LoadGenerator
 {
 public:
-    LoadRun(const CommandContext &context, std::string address, HttpRequest request)
+    LoadGenerator(const CommandContext &context, std::string address, HttpRequest request)
         : m_context{context}
         , m_address{std::move(address)}
         , m_request{std::move(request)}
         , m_loop{m_clock}
-        , m_client{m_loop, HttpClientOptions{.ioTimeout = longestWait}}
+        , m_client{m_loop, HttpClientOptions{.ioTimeout = answerTimeout}}
         , m_start{m_clock.now()}
         , m_nextProgress{m_start + progressPeriod}
     {
@@ -54,31 +54,31 @@
         const ControlOptions &options = m_context.options;
         const auto total = static_cast<std::size_t>(std::chrono::duration<double>(options.time).count() * options.rate);
         while (m_summary.answers() < total) {
-            const std::size_t due = std::min(total, dueBy(m_clock.now()));
+            const std::size_t due = std::min(total, dueCount(m_clock.now()));
             for (; m_sent < due; ++m_sent) {
                 send();
             }
-            m_loop.runOnce(untilNext(total));
-            progress(total);
+            m_loop.runOnce(timeUntilNext(total));
+            reportProgress(total);
         }
         return m_summary;
     }
 
 private:
-    [[nodiscard]] std::size_t dueBy(TimePoint now) const
+    [[nodiscard]] std::size_t dueCount(TimePoint now) const
     {
         return 1
             + static_cast<std::size_t>(std::chrono::duration<double>(now - m_start).count() * m_context.options.rate);
     }
 
-    [[nodiscard]] Duration untilNext(std::size_t total) const
+    [[nodiscard]] Duration timeUntilNext(std::size_t total) const
     {
         if (m_sent >= total) {
-            return roundTime;
+            return pollTimeout;
         }
         const auto offset = std::chrono::duration<double>(static_cast<double>(m_sent) / m_context.options.rate);
-        const Duration left = m_start + std::chrono::duration_cast<Duration>(offset) - m_clock.now();
-        return std::clamp<Duration>(left, std::chrono::milliseconds{1}, roundTime);
+        const Duration timeLeft = m_start + std::chrono::duration_cast<Duration>(offset) - m_clock.now();
+        return std::clamp<Duration>(timeLeft, std::chrono::milliseconds{1}, pollTimeout);
     }
 
     void send()
@@ -94,7 +94,7 @@
         (void)m_client.call(m_address, m_request, std::move(hooks));
     }
 
-    void progress(std::size_t total)
+    void reportProgress(std::size_t total)
     {
         if (m_clock.now() < m_nextProgress) {
             return;
@@ -140,12 +140,12 @@
     return m_answers == 0 ? 1.0 : static_cast<double>(m_latencies.size()) / static_cast<double>(m_answers);
 }
 
-Duration LoadSummary::quantile(double share) const
+Duration LoadSummary::quantile(double fraction) const
 {
     if (m_latencies.empty()) {
         return {};
     }
-    const auto rank = static_cast<std::size_t>(std::ceil(share * static_cast<double>(m_latencies.size())));
+    const auto rank = static_cast<std::size_t>(std::ceil(fraction * static_cast<double>(m_latencies.size())));
     return m_latencies[std::clamp<std::size_t>(rank, 1, m_latencies.size()) - 1];
 }
 
@@ -184,8 +184,8 @@
         return ExitCode::Failed;
     }
     const StageCosts before = readStageCosts(context);
-    LoadRun run{context, arguments[0], submission(context.options, arguments[1], *body)};
-    LoadSummary summary = run.run();
+    LoadGenerator generator{context, arguments[0], makeSubmission(context.options, arguments[1], *body)};
+    LoadSummary summary = generator.run();
     summary.setCosts(before, readStageCosts(context));
     context.out << summary.text(context.options.output);
     return summary.attainment() < 1.0 ? ExitCode::No : ExitCode::Ok;
--- a/src/bergamottide/ctl/load.h
+++ b/src/bergamottide/ctl/load.h
@@ -10,21 +10,21 @@
 
 namespace bergamottide {
 
-/*! @brief Sums up the answers to a load. */
+/*! @brief Statistics of the answers to a load. */
 class LoadSummary
 {
 public:
     /**
      * @brief Counts one answer.
-     * @param outcome Outcome that the answer names; `lost` if there was none.
-     * @param latency Time from sending the request to its whole answer.
+     * @param outcome Outcome in the answer; `lost` if there was no answer.
+     * @param latency Time from sending the request to the end of its answer.
      */
     void add(const std::string &outcome, Duration latency);
 
     /**
-     * @brief Tells what the load has cost.
-     * @param before Time spent by stage before the load.
-     * @param after Time spent by stage after it.
+     * @brief Sets the cost of the load by stage, as the difference of two readings.
+     * @param before Counters before the load.
+     * @param after Counters after the load.
      */
     void setCosts(const StageCosts &before, const StageCosts &after);
 
@@ -34,16 +34,16 @@
         return m_answers;
     }
 
-    /*! @brief Returns the share of answers that completed, from 0 to 1; 1 without answers. */
+    /*! @brief Returns the fraction of answers that completed, from 0 to 1; 1 without answers. */
     [[nodiscard]] double attainment() const;
 
     /**
      * @brief Returns a quantile of the latencies of completed requests, by the nearest rank.
-     * @param share From 0 to 1.
+     * @param fraction Fraction from 0 to 1.
      */
-    [[nodiscard]] Duration quantile(double share) const;
+    [[nodiscard]] Duration quantile(double fraction) const;
 
-    /*! @brief Writes the summary. */
+    /*! @brief Returns the summary in an output format. */
     [[nodiscard]] std::string text(OutputFormat format) const;
 
 private:
@@ -54,10 +54,10 @@
 };
 
 /**
- * @brief Submits requests at a steady rate and sums up.
+ * @brief Submits requests at a constant rate and prints a summary.
  *
- * The load is open: a request is sent at its time whether or not earlier ones have ended, as
- * callers do; a load that waits for answers would hide the very delays it shall show.
+ * The load is open-loop: requests are sent on schedule even if earlier ones are unanswered. A closed loop would hide
+ * queueing delays (coordinated omission).
  */
 [[nodiscard]] ExitCode runLoad(const CommandContext &context, const std::vector<std::string> &arguments);
 
--- a/src/bergamottide/ctl/offline.cpp
+++ b/src/bergamottide/ctl/offline.cpp
@@ -46,9 +46,9 @@
     return list;
 }
 
-/*! @brief Writes the verdict on a file. */
-ExitCode writeVerdict(const CommandContext &context, const std::string &path, const std::vector<ConfigIssue> &issues,
-                      const std::string &good)
+/*! @brief Writes the issues of a file, or a success message if there are none. */
+ExitCode writeIssues(const CommandContext &context, const std::string &path, const std::vector<ConfigIssue> &issues,
+                     const std::string &success)
 {
     if (context.options.output == OutputFormat::Json) {
         writeJson(context, {{"valid", issues.empty()}, {"issues", issuesJson(issues)}});
@@ -58,13 +58,13 @@
         context.out << path << ": " << issueText(issue) << '\n';
     }
     if (issues.empty()) {
-        context.out << path << ": " << good << '\n';
+        context.out << path << ": " << success << '\n';
         return ExitCode::Ok;
     }
     return ExitCode::No;
 }
 
-/*! @brief Reads a document that has to be valid; says why it is not. */
+/*! @brief Reads a valid document; otherwise reports the issues and sets the exit code. */
 std::optional<Document> readDocument(const CommandContext &context, const std::string &path, ExitCode &failure)
 {
     const auto text = readFile(context, path);
@@ -74,7 +74,7 @@
     }
     ParseResult result = parseDocument(*text);
     if (!result.document) {
-        failure = writeVerdict(context, path, result.issues, {});
+        failure = writeIssues(context, path, result.issues, {});
     }
     return std::move(result.document);
 }
@@ -95,8 +95,8 @@
     }
     const ParseResult result = parseDocument(*text);
     const std::string version = result.document ? std::to_string(result.document->version) : std::string{};
-    return writeVerdict(context, arguments[0], result.issues,
-                        "valid, version " + version + ", digest " + digestText(result.digest));
+    return writeIssues(context, arguments[0], result.issues,
+                       "valid, version " + version + ", digest " + digestText(result.digest));
 }
 
 ExitCode validateSettings(const CommandContext &context, const std::vector<std::string> &arguments)
@@ -105,7 +105,7 @@
     if (!text) {
         return ExitCode::Failed;
     }
-    return writeVerdict(context, arguments[0], parseSettings(*text).issues, "valid");
+    return writeIssues(context, arguments[0], parseSettings(*text).issues, "valid");
 }
 
 ExitCode diffDocuments(const CommandContext &context, const std::vector<std::string> &arguments)
@@ -138,7 +138,7 @@
                     << " sections differ\n";
     }
     if (to->version() <= from->version() && to->digest != from->digest) {
-        context.err << "The new document needs a higher version to come into force.\n";
+        context.err << "The new document needs a higher version to become active.\n";
     }
     return json["sections"].empty() ? ExitCode::Ok : ExitCode::No;
 }
@@ -177,7 +177,7 @@
         context.out << metricReference();
         return ExitCode::Ok;
     }
-    context.err << "There is no reference '" << arguments[0] << "'.\n";
+    context.err << "Unknown reference '" << arguments[0] << "'.\n";
     return ExitCode::Usage;
 }
 
--- a/src/bergamottide/ctl/offline.h
+++ b/src/bergamottide/ctl/offline.h
@@ -9,7 +9,7 @@
 
 /**
  * @file
- * @brief Subcommands that need no process; the table of `commands` describes each.
+ * @brief Subcommands that need no running process; `commands` describes each.
  */
 
 /*! @brief Checks a configuration document. */
--- a/src/bergamottide/ctl/remote.cpp
+++ b/src/bergamottide/ctl/remote.cpp
@@ -17,8 +17,8 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr int firstFailure = 400;
-constexpr Duration roundTime = std::chrono::milliseconds{50};
+constexpr int minErrorStatus = 400;
+constexpr Duration pollTimeout = std::chrono::milliseconds{50};
 
 HttpRequest adminRequest(const std::string &key, std::string method, std::string path)
 {
@@ -29,7 +29,7 @@
     return request;
 }
 
-/*! @brief Answer of one process, or why there is none. */
+/*! @brief Answer of one process, or the failure of the call. */
 struct Exchange
 {
     std::string address;
@@ -37,44 +37,44 @@
     std::string failure;
 };
 
-/*! @brief Asks all addresses at once and waits for the last one. */
-std::vector<Exchange> ask(const ControlOptions &options, const std::vector<std::string> &addresses,
-                          const HttpRequest &request)
+/*! @brief Sends a request to all addresses concurrently and waits for every answer. */
+std::vector<Exchange> sendToAll(const ControlOptions &options, const std::vector<std::string> &addresses,
+                                const HttpRequest &request)
 {
     const SystemClock clock;
     Loop loop{clock};
     HttpClient client{loop, HttpClientOptions{.ioTimeout = options.timeout}};
     std::vector<Exchange> exchanges(addresses.size());
-    std::size_t open = addresses.size();
+    std::size_t pending = addresses.size();
     for (std::size_t index = 0; index < addresses.size(); ++index) {
         Exchange &exchange = exchanges[index];
         exchange.address = addresses[index];
         HttpCallHooks hooks;
-        hooks.done = [&exchange, &open](HttpAnswer answer) {
+        hooks.done = [&exchange, &pending](HttpAnswer answer) {
             exchange.answer = std::move(answer);
-            --open;
+            --pending;
         };
-        hooks.failed = [&exchange, &open](HttpFailure failure) {
+        hooks.failed = [&exchange, &pending](HttpFailure failure) {
             exchange.failure = enumName(failure);
-            --open;
+            --pending;
         };
         (void)client.call(exchange.address, request, std::move(hooks));
     }
-    while (open > 0) {
-        loop.runOnce(roundTime);
+    while (pending > 0) {
+        loop.runOnce(pollTimeout);
     }
     return exchanges;
 }
 
-/*! @brief Reports a process that gave no good answer; tells if it gave one. */
-bool succeeded(const CommandContext &context, const Exchange &exchange)
+/*! @brief Returns whether the call succeeded; prints an error otherwise. */
+bool checkAnswer(const CommandContext &context, const Exchange &exchange)
 {
     if (!exchange.answer) {
-        context.err << exchange.address << ": The process does not answer (" << exchange.failure << ").\n";
+        context.err << exchange.address << ": The process did not answer (" << exchange.failure << ").\n";
         return false;
     }
-    if (exchange.answer->status >= firstFailure) {
-        context.err << exchange.address << ": The process answers " << exchange.answer->status << ": "
+    if (exchange.answer->status >= minErrorStatus) {
+        context.err << exchange.address << ": The process answered with status " << exchange.answer->status << ": "
                     << exchange.answer->body << '\n';
         return false;
     }
@@ -85,12 +85,12 @@
 
 ExitCode showStatus(const CommandContext &context, const std::vector<std::string> &arguments)
 {
-    bool good = true;
+    bool allSucceeded = true;
     Json all = Json::array();
     for (const Exchange &exchange :
-         ask(context.options, arguments, adminRequest(context.options.key, "GET", "/status"))) {
-        if (!succeeded(context, exchange)) {
-            good = false;
+         sendToAll(context.options, arguments, adminRequest(context.options.key, "GET", "/status"))) {
+        if (!checkAnswer(context, exchange)) {
+            allSucceeded = false;
             continue;
         }
         const Json state = Json::parse(exchange.answer->body, nullptr, false);
@@ -102,21 +102,22 @@
     if (context.options.output == OutputFormat::Json) {
         context.out << all.dump(2) << '\n';
     }
-    return good ? ExitCode::Ok : ExitCode::Failed;
+    return allSucceeded ? ExitCode::Ok : ExitCode::Failed;
 }
 
 ExitCode showAudit(const CommandContext &context, const std::vector<std::string> &arguments)
 {
-    bool good = true;
+    bool allSucceeded = true;
     std::vector<std::string> trails;
-    for (Exchange &exchange : ask(context.options, arguments, adminRequest(context.options.key, "GET", "/audit"))) {
-        if (!succeeded(context, exchange)) {
-            good = false;
+    for (Exchange &exchange :
+         sendToAll(context.options, arguments, adminRequest(context.options.key, "GET", "/audit"))) {
+        if (!checkAnswer(context, exchange)) {
+            allSucceeded = false;
             continue;
         }
         trails.push_back(std::move(exchange.answer->body));
     }
-    for (const std::string &line : mergeTrails(trails)) {
+    for (const std::string &line : mergeAuditTrails(trails)) {
         if (context.options.output == OutputFormat::Json) {
             context.out << line << '\n';
             continue;
@@ -127,13 +128,13 @@
         }
         context.out << '\n';
     }
-    return good ? ExitCode::Ok : ExitCode::Failed;
+    return allSucceeded ? ExitCode::Ok : ExitCode::Failed;
 }
 
 ExitCode drainProcess(const CommandContext &context, const std::vector<std::string> &arguments)
 {
-    const auto exchanges = ask(context.options, arguments, adminRequest(context.options.key, "POST", "/drain"));
-    if (!succeeded(context, exchanges.front())) {
+    const auto exchanges = sendToAll(context.options, arguments, adminRequest(context.options.key, "POST", "/drain"));
+    if (!checkAnswer(context, exchanges.front())) {
         return ExitCode::Failed;
     }
     if (context.options.output == OutputFormat::Json) {
@@ -152,21 +153,21 @@
         return ExitCode::Failed;
     }
     ControlOptions options = context.options;
-    // The answer may take the whole deadline, which the entry keeps.
+    // The answer may take as long as the deadline of the request, which the entry enforces.
     options.timeout = std::max<Duration>(options.timeout, std::chrono::minutes{11});
-    const auto exchanges = ask(options, {arguments[0]}, submission(options, arguments[1], *body));
+    const auto exchanges = sendToAll(options, {arguments[0]}, makeSubmission(options, arguments[1], *body));
     if (!exchanges.front().answer) {
-        (void)succeeded(context, exchanges.front());
+        (void)checkAnswer(context, exchanges.front());
         return ExitCode::Failed;
     }
     const HttpAnswer &answer = *exchanges.front().answer;
     context.out << answer.body << '\n';
-    return answer.status < firstFailure ? ExitCode::Ok : ExitCode::No;
+    return answer.status < minErrorStatus ? ExitCode::Ok : ExitCode::No;
 }
 
-std::vector<std::string> mergeTrails(const std::vector<std::string> &trails)
+std::vector<std::string> mergeAuditTrails(const std::vector<std::string> &trails)
 {
-    std::vector<std::pair<std::string, std::string>> timed;
+    std::vector<std::pair<std::string, std::string>> linesByTime;
     for (const std::string &trail : trails) {
         std::istringstream lines{trail};
         for (std::string line; std::getline(lines, line);) {
@@ -174,14 +175,15 @@
             if (!entry.is_object() || !entry.contains("time") || !entry["time"].is_string()) {
                 continue;
             }
-            timed.emplace_back(entry["time"].get<std::string>(), line);
+            linesByTime.emplace_back(entry["time"].get<std::string>(), line);
         }
     }
-    // The time is written so that the order of the text is that of the time; ties keep their order.
-    std::stable_sort(timed.begin(), timed.end(), [](const auto &a, const auto &b) { return a.first < b.first; });
+    // Times sort as text; a stable sort keeps the order of equal times.
+    std::stable_sort(linesByTime.begin(), linesByTime.end(),
+                     [](const auto &a, const auto &b) { return a.first < b.first; });
     std::vector<std::string> merged;
-    merged.reserve(timed.size());
-    for (auto &[time, line] : timed) {
+    merged.reserve(linesByTime.size());
+    for (auto &[time, line] : linesByTime) {
         merged.push_back(std::move(line));
     }
     return merged;
@@ -210,15 +212,16 @@
 {
     StageCosts costs;
     const ControlOptions &options = context.options;
-    for (const Exchange &exchange : ask(options, options.admins, adminRequest(options.adminKey, "GET", "/metrics"))) {
-        if (succeeded(context, exchange)) {
+    for (const Exchange &exchange :
+         sendToAll(options, options.admins, adminRequest(options.adminKey, "GET", "/metrics"))) {
+        if (checkAnswer(context, exchange)) {
             addStageCosts(exchange.answer->body, costs);
         }
     }
     return costs;
 }
 
-HttpRequest submission(const ControlOptions &options, const std::string &pipeline, const std::string &body)
+HttpRequest makeSubmission(const ControlOptions &options, const std::string &pipeline, const std::string &body)
 {
     HttpRequest request;
     request.method = "POST";
--- a/src/bergamottide/ctl/remote.h
+++ b/src/bergamottide/ctl/remote.h
@@ -12,50 +12,50 @@
 
 /**
  * @file
- * @brief Subcommands that ask one or more processes; the table of `commands` describes each.
+ * @brief Subcommands that call one or more processes; `commands` describes each.
  */
 
 /*! @brief Shows the state of processes. */
 [[nodiscard]] ExitCode showStatus(const CommandContext &context, const std::vector<std::string> &arguments);
 /*! @brief Merges the audit trails of processes. */
 [[nodiscard]] ExitCode showAudit(const CommandContext &context, const std::vector<std::string> &arguments);
-/*! @brief Tells a process to leave. */
+/*! @brief Starts the graceful shutdown of a process. */
 [[nodiscard]] ExitCode drainProcess(const CommandContext &context, const std::vector<std::string> &arguments);
 /*! @brief Submits one request. */
 [[nodiscard]] ExitCode submitRequest(const CommandContext &context, const std::vector<std::string> &arguments);
 
 /**
- * @brief Merges lines of audit trails in the order of their times.
- * @param trails Lines of JSON of each process.
- * @return All lines, the oldest first; a line without a time is left out.
+ * @brief Merges audit trails in time order.
+ * @param trails JSON lines of each process.
+ * @return All lines, oldest first; lines without a time are left out.
  */
-[[nodiscard]] std::vector<std::string> mergeTrails(const std::vector<std::string> &trails);
+[[nodiscard]] std::vector<std::string> mergeAuditTrails(const std::vector<std::string> &trails);
 
-/*! @brief Time spent on one stage. */
+/*! @brief Execution time spent on one stage. */
 struct StageCost
 {
     double usefulSeconds{};
     double wastedSeconds{};
 };
 
-/*! @brief Time spent by the name of the stage. */
+/*! @brief Execution time by name of the stage. */
 using StageCosts = std::map<std::string, StageCost>;
 
 /**
- * @brief Sums up the time spent by stage over all workspaces.
- * @param metrics Text in the format of Prometheus.
- * @param costs Receives the sums.
+ * @brief Adds the execution time by stage, summed over all workspaces.
+ * @param metrics Metrics in the Prometheus text format.
+ * @param costs Sums to add to.
  */
 void addStageCosts(const std::string &metrics, StageCosts &costs);
 
 /**
- * @brief Reads the time spent by stage from the metrics of sides.
- * @param context Its options name the admin ports and their key; a port that does not answer is reported.
+ * @brief Reads the execution time by stage from the metrics of sidecars.
+ * @param context Options with the admin ports and their key; calls that fail are reported and skipped.
  */
 [[nodiscard]] StageCosts readStageCosts(const CommandContext &context);
 
-/*! @brief Makes the HTTP request that submits a body to a pipeline. */
-[[nodiscard]] HttpRequest submission(const ControlOptions &options, const std::string &pipeline,
-                                     const std::string &body);
+/*! @brief Returns the HTTP request that submits a body to a pipeline. */
+[[nodiscard]] HttpRequest makeSubmission(const ControlOptions &options, const std::string &pipeline,
+                                         const std::string &body);
 
 } // namespace bergamottide
--- a/src/tools/bergamottidectl.cpp
+++ b/src/tools/bergamottidectl.cpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-DEFINE_string(output, "text", "how the answer is written: text or json");
+DEFINE_string(output, "text", "output format: text or json");
 DEFINE_string(key_file, "", "file with the bearer key of the admin port or of a workspace");
 DEFINE_string(admins, "", "admin ports of sides, separated by commas, for the cost by stage of load");
 DEFINE_string(admin_key_file, "", "file with the key of these admin ports");
@@ -18,7 +18,7 @@
 DEFINE_string(deadline, "", "deadline of each request, with its unit");
 DEFINE_double(rate, 10.0, "requests per second of load");
 DEFINE_string(time, "10s", "time during which load sends");
-DEFINE_string(timeout, "5s", "silence after which a process counts as not answering");
+DEFINE_string(timeout, "5s", "time without data after which a call to a process has failed");
 
 using namespace bergamottide;
 
@@ -32,7 +32,7 @@
     return file ? std::optional{text.str()} : std::nullopt;
 }
 
-/*! @brief Reads a key from a file, if one is named; tells if that went well. */
+/*! @brief Reads a key from a file; does nothing without a path. Returns false if the file cannot be read. */
 bool readKey(const std::string &path, std::string &key)
 {
     if (path.empty()) {
@@ -47,7 +47,7 @@
     return true;
 }
 
-/*! @brief Reads the options; says which one is wrong. */
+/*! @brief Reads the options from the flags; prints an error if one is not valid. */
 std::optional<ControlOptions> readOptions()
 {
     ControlOptions options;
@@ -55,7 +55,7 @@
     const auto time = parseDuration(FLAGS_time);
     const auto timeout = parseDuration(FLAGS_timeout);
     if (!output || !time || !timeout || FLAGS_rate <= 0.0) {
-        std::cerr << "One of --output, --time, --timeout and --rate is wrong.\n";
+        std::cerr << "One of --output, --time, --timeout and --rate is not valid.\n";
         return std::nullopt;
     }
     options.output = *output;
@@ -81,7 +81,7 @@
     std::vector<std::string> arguments{argv + 1, argv + argc};
     const auto help = std::find(arguments.begin(), arguments.end(), "--help");
     if (help != arguments.end()) {
-        // The help of the flags' library lists every flag of every library; this one is for operators.
+        // The help of gflags would also list the flags of all libraries.
         arguments.erase(help);
         const auto command = arguments.empty() ? std::nullopt : helpText(arguments.front());
         std::cout << command.value_or(helpText());
--- a/test/bergamottide/ctl/command.cpp
+++ b/test/bergamottide/ctl/command.cpp
@@ -19,7 +19,7 @@
 const std::string changed = "version: 4\npools: {s: {kind: service}}\npipelines: {p: {stages: [{name: a, pool: s}]}}\n"
                             "workspaces: {w: {weight: 3}, v: {}}\n...\n";
 
-/*! @brief What a command has given. */
+/*! @brief Exit code and output of a command. */
 struct Result
 {
     ExitCode code{};
@@ -50,21 +50,22 @@
 
 } // namespace
 
+/*! @brief Subcommands and exit codes of the command line client. */
 class CommandTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CommandTest);
-    CPPUNIT_TEST(everyCommandHasItsHelp);
+    CPPUNIT_TEST(everyCommandHasHelp);
     CPPUNIT_TEST(wrongCommandLinesAreUsageErrors);
-    CPPUNIT_TEST(validateTellsEveryIssue);
-    CPPUNIT_TEST(diffNamesTheSections);
-    CPPUNIT_TEST(showIsStable);
-    CPPUNIT_TEST(processThatDoesNotAnswerFails);
-    CPPUNIT_TEST(trailsAreMergedByTime);
-    CPPUNIT_TEST(loadIsSummedUp);
+    CPPUNIT_TEST(validateReportsEveryIssue);
+    CPPUNIT_TEST(diffListsChangedSections);
+    CPPUNIT_TEST(showPrintsCanonicalForm);
+    CPPUNIT_TEST(unreachableProcessIsReported);
+    CPPUNIT_TEST(auditTrailsAreMergedByTime);
+    CPPUNIT_TEST(loadSummaryComputesAttainmentLatencyAndCost);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void everyCommandHasItsHelp()
+    void everyCommandHasHelp()
     {
         for (const Command &command : commands()) {
             const Result result = run({"help", std::string{command.name}});
@@ -84,7 +85,7 @@
         expectCode(ExitCode::Usage, run({"reference", "weather"}));
     }
 
-    void validateTellsEveryIssue()
+    void validateReportsEveryIssue()
     {
         expectCode(ExitCode::Ok, run({"validate", "a"}));
         expectCode(ExitCode::Failed, run({"validate", "absent"}));
@@ -96,7 +97,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"version"}, json.at("issues").at(0).at("path").get<std::string>());
     }
 
-    void diffNamesTheSections()
+    void diffListsChangedSections()
     {
         expectCode(ExitCode::Ok, run({"diff", "a", "a"}));
         expectCode(ExitCode::No, run({"diff", "a", "bad"}));
@@ -108,7 +109,7 @@
         CPPUNIT_ASSERT(!run({"diff", "b", "a"}).err.empty());
     }
 
-    void showIsStable()
+    void showPrintsCanonicalForm()
     {
         const Result result = run({"show", "a"});
         expectCode(ExitCode::Ok, result);
@@ -116,24 +117,24 @@
         expectCode(ExitCode::No, run({"show", "bad"}));
     }
 
-    void processThatDoesNotAnswerFails()
+    void unreachableProcessIsReported()
     {
-        // Port 1 of the loopback has no listener.
+        // Nothing listens on port 1 of the loopback interface.
         const Result result = run({"status", "127.0.0.1:1"});
         expectCode(ExitCode::Failed, result);
         CPPUNIT_ASSERT(result.err.find("127.0.0.1:1") != std::string::npos);
     }
 
-    void trailsAreMergedByTime()
+    void auditTrailsAreMergedByTime()
     {
-        const std::vector<std::string> merged =
-            mergeTrails({"{\"time\":\"2026-01-01T00:00:02Z\",\"i\":1}\n{\"time\":\"2026-01-01T00:00:09Z\",\"i\":2}\n",
-                         "nonsense\n{\"i\":0}\n{\"time\":\"2026-01-01T00:00:05Z\",\"i\":3}\n"});
+        const std::vector<std::string> merged = mergeAuditTrails(
+            {"{\"time\":\"2026-01-01T00:00:02Z\",\"i\":1}\n{\"time\":\"2026-01-01T00:00:09Z\",\"i\":2}\n",
+             "nonsense\n{\"i\":0}\n{\"time\":\"2026-01-01T00:00:05Z\",\"i\":3}\n"});
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, merged.size());
         CPPUNIT_ASSERT(merged[1].find("\"i\":3") != std::string::npos);
     }
 
-    void loadIsSummedUp()
+    void loadSummaryComputesAttainmentLatencyAndCost()
     {
         LoadSummary summary;
         CPPUNIT_ASSERT_EQUAL(1.0, summary.attainment());
--- a/test/bergamottide/ctl/explain.cpp
+++ b/test/bergamottide/ctl/explain.cpp
@@ -18,31 +18,31 @@
 
 } // namespace
 
-/*! @brief From the identity of a request to its story. */
+/*! @brief Timeline of one request from the logs of several processes. */
 class ExplainTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ExplainTest);
-    CPPUNIT_TEST(mergesProcessesInTheOrderOfTime);
-    CPPUNIT_TEST(showsWhatWasBelievedOfTheEndpointsInvolvedMeanwhile);
-    CPPUNIT_TEST(saysThatNothingIsKnown);
+    CPPUNIT_TEST(mergesLogsInTimeOrder);
+    CPPUNIT_TEST(showsStateChangesOfInvolvedEndpoints);
+    CPPUNIT_TEST(failsWhenNoLineNamesTheRequest);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void mergesProcessesInTheOrderOfTime()
+    void mergesLogsInTimeOrder()
     {
         m_files["a"] = line("01", "a", "sent", R"("request":"r1","endpoint":"e1")")
             + line("04", "a", "refused", R"("request":"r1")") + line("02", "a", "sent", R"("request":"r2")");
         m_files["b"] = "12.3 b " + line("03", "b", "batched", R"("requests":"r2,r1","items":"2")") + "no line\n";
         CPPUNIT_ASSERT(explain("r1") == ExitCode::Ok);
-        const std::string told = m_out.str();
-        const auto sent = told.find("sent endpoint=e1");
-        const auto batched = told.find("b  batched items=2");
-        const auto refused = told.find("refused");
+        const std::string output = m_out.str();
+        const auto sent = output.find("sent endpoint=e1");
+        const auto batched = output.find("b  batched items=2");
+        const auto refused = output.find("refused");
         CPPUNIT_ASSERT(sent != std::string::npos && batched != std::string::npos && refused != std::string::npos);
         CPPUNIT_ASSERT(sent < batched && batched < refused);
     }
 
-    void showsWhatWasBelievedOfTheEndpointsInvolvedMeanwhile()
+    void showsStateChangesOfInvolvedEndpoints()
     {
         m_files["a"] = line("01", "a", "sent", R"("request":"r1","endpoint":"e1")")
             + line("02", "a", "left out", R"("endpoint":"e1")") + line("02", "a", "other", R"("endpoint":"e2")")
@@ -54,7 +54,7 @@
         CPPUNIT_ASSERT(m_out.str().find("later") == std::string::npos);
     }
 
-    void saysThatNothingIsKnown()
+    void failsWhenNoLineNamesTheRequest()
     {
         m_files["a"] = m_files["b"] = "";
         CPPUNIT_ASSERT(explain("r1") == ExitCode::No);
