--- a/src/bergamottide/app/adminport.cpp
+++ b/src/bergamottide/app/adminport.cpp
@@ -21,9 +21,9 @@
 constexpr int statusNotFound = 404;
 constexpr int statusUnprocessable = 422;
 constexpr int statusUnavailable = 503;
-constexpr std::string_view bearer = "Bearer ";
+constexpr std::string_view bearerPrefix = "Bearer ";
 
-void answerJson(HttpResponder &responder, int status, std::string body)
+void sendJson(HttpResponder &responder, int status, std::string body)
 {
     responder.answer(HttpAnswer{status, {{"content-type", "application/json"}}, std::move(body)});
 }
@@ -54,33 +54,33 @@
 void AdminPort::handle(const HttpRequest &request, HttpResponder &responder)
 {
     if (request.path == "/live") {
-        answerJson(responder, statusOk, "{}");
+        sendJson(responder, statusOk, "{}");
         return;
     }
     if (request.path == "/ready") {
-        answerJson(responder, m_hooks.ready() ? statusOk : statusUnavailable, "{}");
+        sendJson(responder, m_hooks.ready() ? statusOk : statusUnavailable, "{}");
         return;
     }
     if (request.path == "/console") {
-        // The page holds nothing of this process; what it asks for needs the key.
+        // The page itself holds no data; the requests that it sends need the key.
         responder.answer(
             HttpAnswer{statusOk, {{"content-type", "text/html; charset=utf-8"}}, std::string{consolePage()}});
         return;
     }
-    if (!authorized(request)) {
-        answerJson(responder, statusUnauthorized, R"({"reason":"wrong_key","field":"authorization"})");
+    if (!isAuthorized(request)) {
+        sendJson(responder, statusUnauthorized, R"({"reason":"wrong_key","field":"authorization"})");
         return;
     }
     route(request, responder);
 }
 
-bool AdminPort::authorized(const HttpRequest &request) const
+bool AdminPort::isAuthorized(const HttpRequest &request) const
 {
     const std::string_view value = headerValue(request.headers, "authorization");
-    if (!value.starts_with(bearer)) {
+    if (!value.starts_with(bearerPrefix)) {
         return false;
     }
-    const std::string digest = keyDigest(value.substr(bearer.size()));
+    const std::string digest = keyDigest(value.substr(bearerPrefix.size()));
     return digest.size() == m_keyDigest.size() && CRYPTO_memcmp(digest.data(), m_keyDigest.data(), digest.size()) == 0;
 }
 
@@ -89,7 +89,7 @@
     const bool get = request.method == "GET";
     const bool post = request.method == "POST";
     if (get && request.path == "/status") {
-        answerJson(responder, statusOk, m_hooks.status());
+        sendJson(responder, statusOk, m_hooks.status());
         return;
     }
     if (get && request.path == "/metrics") {
@@ -100,7 +100,7 @@
         std::uint64_t after = 0;
         const std::string text{queryValue(request.query, "after")};
         if (!text.empty() && !absl::SimpleAtoi(text, &after)) {
-            answerJson(responder, statusBadRequest, R"({"reason":"malformed_header","field":"after"})");
+            sendJson(responder, statusBadRequest, R"({"reason":"malformed_header","field":"after"})");
             return;
         }
         responder.answer(HttpAnswer{statusOk, {{"content-type", "application/x-ndjson"}}, m_hooks.audit(after)});
@@ -108,23 +108,23 @@
     }
     if (post && request.path == "/drain") {
         m_hooks.drain("admin port");
-        answerJson(responder, statusAccepted, "{}");
+        sendJson(responder, statusAccepted, "{}");
         return;
     }
     if (get && request.path == "/v1/schema") {
-        answerJson(responder, statusOk, schemaJson());
+        sendJson(responder, statusOk, schemaJson());
         return;
     }
     if (post && request.path == "/v1/read") {
-        answerJson(responder, statusOk, readJson(request.body));
+        sendJson(responder, statusOk, readJson(request.body));
         return;
     }
     if (post && request.path == "/v1/validate") {
         const ParseResult result = parseDocument(request.body);
-        answerJson(responder, result.document ? statusOk : statusUnprocessable, validationJson(result));
+        sendJson(responder, result.document ? statusOk : statusUnprocessable, validationJson(result));
         return;
     }
-    answerJson(responder, statusNotFound, "{}");
+    sendJson(responder, statusNotFound, "{}");
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/app/adminport.h
+++ b/src/bergamottide/app/adminport.h
@@ -9,45 +9,45 @@
 
 namespace bergamottide {
 
-/*! @brief What the admin port asks of its process. */
+/*! @brief Callbacks through which the admin port reaches its process. */
 struct AdminHooks
 {
-    /*! @brief Tells if callers or peers may be sent here. */
+    /*! @brief Returns whether the process accepts work, for the readiness probe. */
     std::function<bool()> ready;
-    /*! @brief Writes the state of the process as JSON. */
+    /*! @brief Returns the state of the process as JSON. */
     std::function<std::string()> status;
-    /*! @brief Writes the metrics in the text format of Prometheus. */
+    /*! @brief Returns the metrics in the Prometheus text format. */
     std::function<std::string()> metrics;
-    /*! @brief Writes the audit trail after a position as lines of JSON. */
+    /*! @brief Returns the audit records after a position as JSON lines. */
     std::function<std::string(std::uint64_t after)> audit;
     /*! @brief Starts a graceful shutdown. */
     std::function<void(std::string cause)> drain;
 };
 
 /**
- * @brief Port of the operators: health, metrics, status, audit trail, drain, validation and the console.
+ * @brief Operators' HTTP interface: health, metrics, status, audit trail, drain, validation and the console.
  *
- * Health is open to the platform's balancer, everything else asks for the port's own key.
+ * The health endpoints and the console page need no key; everything else needs the admin key.
  */
 class AdminPort
 {
 public:
     /**
      * @brief Creates a port.
-     * @param keyDigest Lower case hexadecimal SHA-256 digest of the port's key.
-     * @param hooks What the port asks of its process.
+     * @param keyDigest SHA-256 digest of the admin key in lower case hexadecimal.
+     * @param hooks Callbacks into the process.
      */
     AdminPort(std::string keyDigest, AdminHooks hooks);
 
     /**
      * @brief Handles one HTTP request.
      * @param request Request.
-     * @param responder Way to answer.
+     * @param responder Takes the response.
      */
     void handle(const HttpRequest &request, HttpResponder &responder);
 
 private:
-    [[nodiscard]] bool authorized(const HttpRequest &request) const;
+    [[nodiscard]] bool isAuthorized(const HttpRequest &request) const;
     void route(const HttpRequest &request, HttpResponder &responder);
 
     std::string m_keyDigest;
--- a/src/bergamottide/app/filewatch.cpp
+++ b/src/bergamottide/app/filewatch.cpp
@@ -8,8 +8,7 @@
 
 namespace {
 
-/*! @brief Period in which a file is read: settings change a few times a day, and take effect within seconds. */
-constexpr Duration period = std::chrono::seconds{2};
+constexpr Duration pollPeriod = std::chrono::seconds{2};
 
 } // namespace
 
@@ -30,7 +29,7 @@
     , m_text{std::move(text)}
     , m_changed{std::move(changed)}
 {
-    arm();
+    schedulePoll();
 }
 
 FileWatch::~FileWatch()
@@ -48,11 +47,11 @@
     m_changed(text);
 }
 
-void FileWatch::arm()
+void FileWatch::schedulePoll()
 {
-    m_timer = m_loop.at(m_loop.now() + period, [this] {
+    m_timer = m_loop.at(m_loop.now() + pollPeriod, [this] {
         look();
-        arm();
+        schedulePoll();
     });
 }
 
--- a/src/bergamottide/app/filewatch.h
+++ b/src/bergamottide/app/filewatch.h
@@ -8,30 +8,30 @@
 namespace bergamottide {
 
 /**
- * @brief Looks now and then if the text of a file has changed, and at once when told to.
+ * @brief Polls a file for changed content.
  *
- * The kernel's notifications are not used: they are not to be had everywhere, and a file may be replaced as a whole.
+ * Polling also detects a file that is replaced by a rename, and works where inotify is not available.
  */
 class FileWatch
 {
 public:
     /**
-     * @brief Starts to watch.
-     * @param loop Loop it runs on; outlives the watch.
+     * @brief Starts polling.
+     * @param loop Event loop; outlives the watch.
      * @param path File to watch.
-     * @param text Text that is known already.
-     * @param changed Called with each new text; not called while the file cannot be read.
+     * @param text Content already known; only a different one is reported.
+     * @param changed Called with each new content; not called while the file cannot be read.
      */
     FileWatch(Loop &loop, std::string path, std::string text, std::function<void(const std::string &text)> changed);
     FileWatch(const FileWatch &) = delete;
     FileWatch &operator=(const FileWatch &) = delete;
     ~FileWatch();
 
-    /*! @brief Looks now. */
+    /*! @brief Checks the file immediately. */
     void look();
 
 private:
-    void arm();
+    void schedulePoll();
 
     Loop &m_loop;
     std::string m_path;
@@ -43,8 +43,8 @@
 /**
  * @brief Reads a whole file.
  * @param path File.
- * @param text Receives the text.
- * @return Whether it could be read.
+ * @param text Receives the content.
+ * @return False if the file cannot be opened.
  */
 [[nodiscard]] bool readFile(const std::string &path, std::string &text);
 
--- a/src/bergamottide/app/signalwatch.cpp
+++ b/src/bergamottide/app/signalwatch.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/*! @brief Ends the thread of the watch. */
-constexpr int endSignal = SIGUSR1;
+/*! @brief Sent to the thread of the watch to end it. */
+constexpr int stopSignal = SIGUSR1;
 
 sigset_t handledSignals()
 {
     sigset_t signals;
     sigemptyset(&signals);
-    for (const int signal : {SIGTERM, SIGINT, SIGHUP, endSignal}) {
+    for (const int signal : {SIGTERM, SIGINT, SIGHUP, stopSignal}) {
         sigaddset(&signals, signal);
     }
     return signals;
@@ -34,7 +34,7 @@
     : m_thread{[&loop, terminate = std::move(terminate), reload = std::move(reload)] {
         const sigset_t signals = handledSignals();
         int signal = 0;
-        while (sigwait(&signals, &signal) == 0 && signal != endSignal) {
+        while (sigwait(&signals, &signal) == 0 && signal != stopSignal) {
             loop.post(signal == SIGHUP ? reload : terminate);
         }
     }}
@@ -43,7 +43,7 @@
 
 SignalWatch::~SignalWatch()
 {
-    pthread_kill(m_thread.native_handle(), endSignal);
+    pthread_kill(m_thread.native_handle(), stopSignal);
     m_thread.join();
 }
 
--- a/src/bergamottide/app/signalwatch.h
+++ b/src/bergamottide/app/signalwatch.h
@@ -12,18 +12,17 @@
 /**
  * @brief Blocks the signals that the daemons handle.
  *
- * To be called first in `main`, so that every thread started later inherits it and the
- * signals reach `SignalWatch` alone.
+ * Call it first in `main`: threads started later inherit the mask, so that only `SignalWatch` receives the signals.
  */
 void blockSignals();
 
-/*! @brief Hands SIGTERM, SIGINT and SIGHUP to the loop; its thread only forwards. */
+/*! @brief Waits for SIGTERM, SIGINT and SIGHUP on its own thread and posts them to an event loop. */
 class SignalWatch
 {
 public:
     /**
-     * @brief Starts to watch.
-     * @param loop Loop to hand signals to; outlives the watch.
+     * @brief Starts the thread.
+     * @param loop Event loop; outlives the watch.
      * @param terminate Called on the loop's thread for SIGTERM and SIGINT.
      * @param reload Called on the loop's thread for SIGHUP.
      */
--- a/src/bergamottide/app/telemetry.cpp
+++ b/src/bergamottide/app/telemetry.cpp
@@ -18,7 +18,7 @@
     m_trail.record(record);
     m_log.write(LogLine{Severity::Info,
                         Part::Admin,
-                        "A change was recorded.",
+                        "An audit record was added.",
                         {{"kind", std::string{enumName(record.kind)}},
                          {"subject", record.subject},
                          {"cause", record.cause},
--- a/src/bergamottide/app/telemetry.h
+++ b/src/bergamottide/app/telemetry.h
@@ -30,23 +30,23 @@
     void log(const LogLine &line);
 
     /**
-     * @brief Adds a record to the audit trail, and to the log as well.
+     * @brief Adds a record to the audit trail and writes it to the log.
      * @param record Record to add.
      */
     void audit(const AuditRecord &record);
 
     /**
-     * @brief Changes a metric.
+     * @brief Updates a metric.
      * @param observation Metric, labels and value.
      */
     void observe(const Observe &observation);
 
-    /*! @brief Returns the metrics in the text format of Prometheus. */
+    /*! @brief Returns the metrics in the Prometheus text format. */
     [[nodiscard]] std::string metrics() const;
 
     /**
-     * @brief Returns the audit trail as lines of JSON.
-     * @param after Position already known; zero for all that is kept.
+     * @brief Returns the audit records after a position as JSON lines.
+     * @param after Position of the last known record; zero for all that are kept.
      */
     [[nodiscard]] std::string auditLines(std::uint64_t after) const;
 
--- a/src/tools/standin.cpp
+++ b/src/tools/standin.cpp
@@ -1,8 +1,8 @@
 /*!
  * @file
- * @brief Stand-ins for everything that the system talks to, one kind for each process.
+ * @brief Test doubles of the external services: endpoints, configuration service, instance list and others.
  *
- * Prints one JSON line with the address it listens on, then serves until it is ended.
+ * Each process runs one kind. Prints one JSON line with its listen address, then serves until it is killed.
  */
 #include "bergamottide/core/enumnames.h"
 #include "bergamottide/net/httpserver.h"
@@ -30,12 +30,12 @@
 DEFINE_int32(token_us, 1000, "Service time for each token, in microseconds");
 DEFINE_double(jitter, 0.0, "Half width of the uniform jitter of service times, from 0 to 1");
 DEFINE_uint64(seed, 1, "Seed of jitter and faults");
-DEFINE_uint32(concurrency, 64, "Runs worked on at once");
+DEFINE_uint32(concurrency, 64, "Runs executed concurrently");
 DEFINE_double(fail_share, 0.0, "Share of runs answered 500");
 DEFINE_double(refuse_share, 0.0, "Share of runs refused before they begin");
 DEFINE_uint32(tokens_per_event, 1, "Tokens in one event of an engine");
 DEFINE_uint32(tokens, 16, "Tokens of a run that asks for none");
-DEFINE_bool(honours_fencing, true, "An engine refuses an order with an old fencing number");
+DEFINE_bool(honours_fencing, true, "An engine rejects orders with an outdated fencing number");
 DEFINE_uint32(break_after_events, 0, "Events after which an engine's stream breaks off; 0 for never");
 DEFINE_double(reads_per_second, 10.0, "Reads that the weight store allows");
 DEFINE_string(target, "", "Address that a relay relays to");
@@ -46,7 +46,6 @@
 using namespace bergamottide;
 using namespace bergamottide::standin;
 
-/*! @brief Kinds of stand-ins. */
 enum class Kind : std::uint8_t
 {
     Engine,
@@ -58,9 +57,9 @@
     Relay
 };
 
-std::atomic<bool> silenceAsked{false};
+std::atomic<bool> silenceRequested{false};
 
-ServiceTimeLaw law()
+ServiceTimeLaw serviceTimeLaw()
 {
     return ServiceTimeLaw{std::chrono::microseconds{FLAGS_base_us}, std::chrono::microseconds{FLAGS_token_us},
                           FLAGS_jitter, FLAGS_seed};
@@ -70,7 +69,7 @@
 {
     EngineOptions options;
     options.name = FLAGS_name;
-    options.law = law();
+    options.law = serviceTimeLaw();
     options.concurrency = FLAGS_concurrency;
     options.tokensPerEvent = FLAGS_tokens_per_event;
     options.defaultTokens = FLAGS_tokens;
@@ -79,7 +78,7 @@
     return options;
 }
 
-void announce(const std::string &address)
+void printAddress(const std::string &address)
 {
     std::cout << R"({"address":")" << address << R"(","pid":)" << getpid() << "}" << std::endl;
 }
@@ -100,7 +99,7 @@
     case Kind::Relay:
         break;
     }
-    CallOptions options{FLAGS_name, law(), FLAGS_concurrency, FLAGS_fail_share, FLAGS_refuse_share};
+    CallOptions options{FLAGS_name, serviceTimeLaw(), FLAGS_concurrency, FLAGS_fail_share, FLAGS_refuse_share};
     return std::make_unique<CallStandIn>(loop, options);
 }
 
@@ -119,20 +118,20 @@
         std::cerr << status.message() << "\n";
         return 1;
     }
-    announce(server.address());
+    printAddress(server.address());
     loop.run();
     return 0;
 }
 
-int relay()
+int runRelay()
 {
-    constexpr int waitMs = 20;
+    constexpr int pollTimeoutMs = 20;
     Relay relay{FLAGS_target};
-    std::signal(SIGUSR1, [](int) { silenceAsked = true; });
-    announce(relay.address());
+    std::signal(SIGUSR1, [](int) { silenceRequested = true; });
+    printAddress(relay.address());
     while (true) {
-        relay.runOnce(waitMs);
-        if (silenceAsked.exchange(false)) {
+        relay.runOnce(pollTimeoutMs);
+        if (silenceRequested.exchange(false)) {
             relay.silence();
         }
     }
@@ -152,10 +151,10 @@
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     const auto kind = enumFromName<Kind>(FLAGS_kind);
     if (!kind) {
-        std::cerr << "unknown kind " << FLAGS_kind << "\n";
+        std::cerr << "unknown --kind " << FLAGS_kind << "\n";
         return 2;
     }
     std::signal(SIGPIPE, SIG_IGN);
     alarm(FLAGS_max_seconds);
-    return *kind == Kind::Relay ? relay() : serve(*kind);
+    return *kind == Kind::Relay ? runRelay() : serve(*kind);
 }
