--- a/src/bergamottide/app/calleranswer.cpp
+++ b/src/bergamottide/app/calleranswer.cpp
@@ -18,7 +18,7 @@
 constexpr int statusOk = 200;
 constexpr int statusUnavailable = 503;
 
-int failureStatus(Reason reason)
+int statusOfReason(Reason reason)
 {
     switch (reason) {
     case Reason::MalformedBody:
@@ -52,7 +52,7 @@
     }
 }
 
-/*! @brief Puts a value as JSON, text or base64, whichever is the first to hold it whole. */
+/*! @brief Writes a result as JSON, else as a string if it is UTF-8, else as base64. */
 std::string resultField(const std::string &result)
 {
     if (Json::accept(result)) {
@@ -65,7 +65,7 @@
     }
 }
 
-/*! @brief Field of an event and the header by which a caller gives it. */
+/*! @brief Field of an event and the HTTP header that sets it. */
 struct FieldHeader
 {
     std::string_view field;
@@ -74,8 +74,8 @@
 
 constexpr std::array fieldHeaders{FieldHeader{"deadline", "x-deadline"}, FieldHeader{"kind", "x-kind"}};
 
-/*! @brief Names a field as the caller knows it; the entry knows no header. */
-std::string callerField(const std::string &field)
+/*! @brief Replaces the name of an event field by that of the header that set it. */
+std::string callerFieldName(const std::string &field)
 {
     for (const FieldHeader &known : fieldHeaders) {
         if (known.field == field) {
@@ -85,44 +85,44 @@
     return field;
 }
 
-std::int64_t millisecondsUp(Duration duration)
+std::int64_t ceilMilliseconds(Duration duration)
 {
     return std::chrono::ceil<std::chrono::milliseconds>(duration).count();
 }
 
-std::int64_t secondsUp(Duration duration)
+std::int64_t ceilSeconds(Duration duration)
 {
     return std::chrono::ceil<std::chrono::seconds>(duration).count();
 }
 
 } // namespace
 
-int answerStatus(Outcome outcome, Reason reason)
+int httpStatus(Outcome outcome, Reason reason)
 {
-    return outcome == Outcome::Completed ? statusOk : failureStatus(reason);
+    return outcome == Outcome::Completed ? statusOk : statusOfReason(reason);
 }
 
-std::string answerBody(const CallerAnswer &answer, const std::string &ticket, bool withResult)
+std::string answerBody(const CallerAnswer &answer, const std::string &ticket, bool includeResult)
 {
-    const Json head{{"request_id", answer.request.text()},
-                    {"outcome", std::string{enumName(answer.outcome)}},
-                    {"reason", std::string{enumName(answer.reason)}},
-                    {"field", callerField(answer.field)},
-                    {"ticket", ticket},
-                    {"retry_after_ms", millisecondsUp(answer.retryAfter)},
-                    {"tokens", answer.tokens}};
-    std::string text = head.dump(-1, ' ', false, Json::error_handler_t::replace);
-    if (withResult && answer.outcome == Outcome::Completed) {
+    const Json fields{{"request_id", answer.request.text()},
+                      {"outcome", std::string{enumName(answer.outcome)}},
+                      {"reason", std::string{enumName(answer.reason)}},
+                      {"field", callerFieldName(answer.field)},
+                      {"ticket", ticket},
+                      {"retry_after_ms", ceilMilliseconds(answer.retryAfter)},
+                      {"tokens", answer.tokens}};
+    std::string text = fields.dump(-1, ' ', false, Json::error_handler_t::replace);
+    if (includeResult && answer.outcome == Outcome::Completed) {
         text.pop_back();
         absl::StrAppend(&text, ",", resultField(answer.body), "}");
     }
     return text;
 }
 
-HttpAnswer wholeAnswer(const CallerAnswer &answer, const std::string &ticket)
+HttpAnswer httpAnswer(const CallerAnswer &answer, const std::string &ticket)
 {
     HttpAnswer http;
-    http.status = answerStatus(answer.outcome, answer.reason);
+    http.status = httpStatus(answer.outcome, answer.reason);
     http.headers = {{"content-type", "application/json"},
                     {"x-outcome", std::string{enumName(answer.outcome)}},
                     {"x-request-id", answer.request.text()}};
@@ -130,13 +130,13 @@
         http.headers.emplace_back("x-ticket", ticket);
     }
     if (answer.retryAfter.count() > 0) {
-        http.headers.emplace_back("retry-after", absl::StrCat(secondsUp(answer.retryAfter)));
+        http.headers.emplace_back("retry-after", absl::StrCat(ceilSeconds(answer.retryAfter)));
     }
     http.body = answerBody(answer, ticket, true);
     return http;
 }
 
-CallerAnswer refusal(CallId call, const absl::Status &error)
+CallerAnswer notRunAnswer(CallId call, const absl::Status &error)
 {
     CallerAnswer answer;
     answer.call = call;
@@ -151,7 +151,7 @@
     return absl::StrCat("event: ", std::string{type}, "\ndata: ", std::string{data}, "\n\n");
 }
 
-std::string pieceData(std::uint64_t offset, const std::string &piece)
+std::string pieceEventData(std::uint64_t offset, const std::string &piece)
 {
     try {
         return absl::StrCat("{\"offset\":", offset, ",\"text\":", Json(piece).dump(), "}");
--- a/src/bergamottide/app/calleranswer.h
+++ b/src/bergamottide/app/calleranswer.h
@@ -13,58 +13,57 @@
 
 /**
  * @file
- * @brief Answers to callers written as HTTP; docs/callers.md describes the interface.
+ * @brief HTTP responses to callers; docs/callers.md describes the interface.
  */
 
 /**
- * @brief Returns the HTTP status of an answer.
+ * @brief Returns the HTTP status for an outcome.
  *
- * `completed` is 200. Of the others the reason decides: bad input 400, 401, 404, 409 or 413;
- * too much 429; a deadline that has passed 504; anything else 503. The outcome tells whether
- * anything was done, the status does not.
+ * `completed` is 200. Otherwise the reason decides: invalid requests 400, 401, 404, 409 or 413; load shedding and
+ * rate limits 429; an exceeded deadline 504; anything else 503. Only the outcome tells whether the request was run.
  *
  * @param outcome Outcome of the request.
  * @param reason Why it did not complete.
  */
-[[nodiscard]] int answerStatus(Outcome outcome, Reason reason);
+[[nodiscard]] int httpStatus(Outcome outcome, Reason reason);
 
 /**
- * @brief Writes the body of an answer.
+ * @brief Writes the JSON body of an answer.
  * @param answer Answer.
- * @param ticket Text of its ticket; empty without one.
- * @param withResult The result is part of the body; left out where it was sent piece by piece.
+ * @param ticket Encoded ticket; empty if there is none.
+ * @param includeResult Whether the result is included; not if it was streamed before.
  * @return JSON text.
  */
-[[nodiscard]] std::string answerBody(const CallerAnswer &answer, const std::string &ticket, bool withResult);
+[[nodiscard]] std::string answerBody(const CallerAnswer &answer, const std::string &ticket, bool includeResult);
 
 /**
- * @brief Writes a whole answer.
+ * @brief Writes an answer as one HTTP response with status, headers and body.
  * @param answer Answer.
- * @param ticket Text of its ticket; empty without one.
+ * @param ticket Encoded ticket; empty if there is none.
  */
-[[nodiscard]] HttpAnswer wholeAnswer(const CallerAnswer &answer, const std::string &ticket);
+[[nodiscard]] HttpAnswer httpAnswer(const CallerAnswer &answer, const std::string &ticket);
 
 /**
- * @brief Writes the refusal of a request that is not in good form.
+ * @brief Creates the answer to a malformed request.
  * @param call Connection of the caller.
- * @param error Error with reason and field.
+ * @param error Error that carries the reason and the field.
  * @return Answer with the outcome `not_run`.
  */
-[[nodiscard]] CallerAnswer refusal(CallId call, const absl::Status &error);
+[[nodiscard]] CallerAnswer notRunAnswer(CallId call, const absl::Status &error);
 
 /**
- * @brief Writes one server-sent event.
+ * @brief Formats one server-sent event.
  * @param type Type of the event.
  * @param data JSON text without line feeds.
  */
 [[nodiscard]] std::string serverSentEvent(std::string_view type, std::string_view data);
 
 /**
- * @brief Writes the data of a `piece` event.
- * @param offset Position of the piece within the whole result, in bytes.
+ * @brief Formats the data of a `piece` event.
+ * @param offset Offset of the piece within the result, in bytes.
  * @param piece Bytes of the result.
- * @return `{"offset":N,"text":…}`, with `base64` in place of `text` for bytes that are not UTF-8.
+ * @return `{"offset":N,"text":…}`, with `base64` instead of `text` if the bytes are not UTF-8.
  */
-[[nodiscard]] std::string pieceData(std::uint64_t offset, const std::string &piece);
+[[nodiscard]] std::string pieceEventData(std::uint64_t offset, const std::string &piece);
 
 } // namespace bergamottide
--- a/src/bergamottide/app/callerport.cpp
+++ b/src/bergamottide/app/callerport.cpp
@@ -13,48 +13,47 @@
 namespace {
 
 /*!
- * @brief Bytes that may wait for a caller that reads slowly.
+ * @brief Unsent bytes buffered for a slow caller; above this its connection is closed.
  *
- * One such caller holds this much of the 128 MB of an entry; beyond it the caller is gone.
- * Its ticket, if it has one, still leads to the result.
+ * Bounds the memory that one connection can hold. A caller with a ticket can still fetch the result.
  */
 constexpr std::size_t maxUnsentBytes = 4u << 20;
 
 } // namespace
 
-CallerPort::CallerPort(const TicketCodec &tickets, std::uint64_t seed, Sink sink)
+CallerPort::CallerPort(const TicketCodec &tickets, std::uint64_t seed, EventSink submitEvent)
     : m_tickets{tickets}
     , m_seed{seed}
-    , m_sink{std::move(sink)}
+    , m_submitEvent{std::move(submitEvent)}
 {
     m_context.tickets = &m_tickets;
-    m_context.drawRequest = [this] {
-        return drawRequest();
+    m_context.generateRequestId = [this] {
+        return generateRequestId();
     };
 }
 
 void CallerPort::handle(const HttpRequest &request, std::shared_ptr<HttpResponder> responder)
 {
     const CallId id{++m_lastCall};
-    auto read = readCallerRequest(id, request, m_context);
+    auto read = parseCallerRequest(id, request, m_context);
     if (!read.ok()) {
-        responder->answer(wholeAnswer(refusal(id, read.status()), {}));
+        responder->answer(httpAnswer(notRunAnswer(id, read.status()), {}));
         return;
     }
     Call call;
     call.responder = std::move(responder);
-    call.form = read->form;
+    call.mode = read->mode;
     if (const auto *fetched = std::get_if<CallerFetched>(&read->event)) {
         call.offset = fetched->offset;
     }
     const auto key = static_cast<std::uint64_t>(id);
     call.responder->onClosed([this, id, key] {
         if (m_calls.erase(key) != 0) {
-            m_sink(CallerGone{id});
+            m_submitEvent(CallerGone{id});
         }
     });
     m_calls.emplace(key, std::move(call));
-    std::visit([this](auto &&event) { m_sink(std::forward<decltype(event)>(event)); }, std::move(read->event));
+    std::visit([this](auto &&event) { m_submitEvent(std::forward<decltype(event)>(event)); }, std::move(read->event));
 }
 
 void CallerPort::setDocument(std::shared_ptr<const Document> document)
@@ -72,15 +71,15 @@
     call.ticket = m_tickets.write(effect.ticket);
     const std::string data =
         "{\"request_id\":\"" + effect.ticket.request.text() + "\",\"ticket\":\"" + call.ticket + "\"}";
-    if (call.form.detached) {
+    if (call.mode.isAsynchronous) {
         constexpr int statusAccepted = 202;
         const auto responder = call.responder;
         m_calls.erase(found);
         responder->answer(HttpAnswer{statusAccepted, {{"content-type", "application/json"}}, data});
         return;
     }
-    if (call.form.streaming) {
-        begin(call);
+    if (call.mode.streaming) {
+        beginStream(call);
         call.responder->send(serverSentEvent("ticket", data));
     }
 }
@@ -88,14 +87,14 @@
 void CallerPort::carryOut(const CallerPiece &effect)
 {
     const auto found = m_calls.find(static_cast<std::uint64_t>(effect.call));
-    if (found == m_calls.end() || !found->second.form.streaming) {
+    if (found == m_calls.end() || !found->second.mode.streaming) {
         return;
     }
     Call &call = found->second;
-    begin(call);
-    call.responder->send(serverSentEvent("piece", pieceData(call.offset, effect.piece)));
+    beginStream(call);
+    call.responder->send(serverSentEvent("piece", pieceEventData(call.offset, effect.piece)));
     call.offset += effect.piece.size();
-    dropSlow(effect.call, call);
+    dropIfSlow(effect.call, call);
 }
 
 void CallerPort::carryOut(const CallerAnswer &effect)
@@ -109,52 +108,52 @@
     if (effect.ticket) {
         call.ticket = m_tickets.write(*effect.ticket);
     }
-    const bool completedStream = call.form.streaming && effect.outcome == Outcome::Completed;
-    if (call.begun || completedStream) {
-        endStream(call, effect);
+    const bool completedStream = call.mode.streaming && effect.outcome == Outcome::Completed;
+    if (call.hasStreamStarted || completedStream) {
+        finishStream(call, effect);
         return;
     }
-    call.responder->answer(wholeAnswer(effect, call.ticket));
+    call.responder->answer(httpAnswer(effect, call.ticket));
 }
 
-std::size_t CallerPort::waiting() const noexcept
+std::size_t CallerPort::waitingCalls() const noexcept
 {
     return m_calls.size();
 }
 
-RequestId CallerPort::drawRequest()
+RequestId CallerPort::generateRequestId()
 {
     RequestId request;
     std::array<unsigned char, sizeof(request.high) + sizeof(request.low)> bytes{};
     if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1) {
-        // Without random bytes the seed of this start and a count still make it unique.
-        return RequestId{m_seed, ++m_lastRequest};
+        // Without random bytes, the seed of this process start and a counter still give a unique identity.
+        return RequestId{m_seed, ++m_generatedRequests};
     }
     std::memcpy(&request.high, bytes.data(), sizeof(request.high));
     std::memcpy(&request.low, bytes.data() + sizeof(request.high), sizeof(request.low));
     return request;
 }
 
-void CallerPort::begin(Call &call)
+void CallerPort::beginStream(Call &call)
 {
-    if (call.begun) {
+    if (call.hasStreamStarted) {
         return;
     }
-    call.begun = true;
+    call.hasStreamStarted = true;
     call.responder->begin(200, {{"content-type", "text/event-stream"}, {"cache-control", "no-store"}});
 }
 
-void CallerPort::endStream(Call &call, const CallerAnswer &effect)
+void CallerPort::finishStream(Call &call, const CallerAnswer &effect)
 {
-    begin(call);
+    beginStream(call);
     if (!effect.body.empty()) {
-        call.responder->send(serverSentEvent("piece", pieceData(call.offset, effect.body)));
+        call.responder->send(serverSentEvent("piece", pieceEventData(call.offset, effect.body)));
     }
     call.responder->send(serverSentEvent("answer", answerBody(effect, call.ticket, false)));
     call.responder->finish();
 }
 
-void CallerPort::dropSlow(CallId id, const Call &call)
+void CallerPort::dropIfSlow(CallId id, const Call &call)
 {
     if (call.responder->unsent() <= maxUnsentBytes) {
         return;
@@ -162,7 +161,7 @@
     const auto responder = call.responder;
     m_calls.erase(static_cast<std::uint64_t>(id));
     responder->finish();
-    m_sink(CallerGone{id});
+    m_submitEvent(CallerGone{id});
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/app/callerport.h
+++ b/src/bergamottide/app/callerport.h
@@ -14,80 +14,80 @@
 namespace bergamottide {
 
 /**
- * @brief Port of the callers: HTTP requests to events, effects to HTTP answers.
+ * @brief Translates callers' HTTP requests into events and effects into HTTP responses.
  *
- * Decides nothing but the form of requests and answers.
+ * Checks only the syntax of requests; all other decisions are the reducer's.
  */
 class CallerPort
 {
 public:
-    /*! @brief Takes an event; may carry out its effects on this port at once. */
-    using Sink = std::function<void(EntryEvent event)>;
+    /*! @brief Takes an event; may call `carryOut` before it returns. */
+    using EventSink = std::function<void(EntryEvent event)>;
 
     /**
-     * @brief Creates a port that does not listen.
-     * @param tickets Writes and reads tickets; outlives the port.
-     * @param seed Seed of the identities drawn, unique to this start of the process.
-     * @param sink Takes the events.
+     * @brief Creates a port; the HTTP server is separate.
+     * @param tickets Encodes and decodes tickets; outlives the port.
+     * @param seed Number unique to this start of the process, for request identities without random bytes.
+     * @param submitEvent Takes the events.
      */
-    CallerPort(const TicketCodec &tickets, std::uint64_t seed, Sink sink);
+    CallerPort(const TicketCodec &tickets, std::uint64_t seed, EventSink submitEvent);
 
     /**
      * @brief Handles one HTTP request.
      * @param request Request.
-     * @param responder Way to answer.
+     * @param responder Takes the response.
      */
     void handle(const HttpRequest &request, std::shared_ptr<HttpResponder> responder);
 
     /**
-     * @brief Sets the document by which the form of requests is checked.
-     * @param document Document in force.
+     * @brief Sets the configuration document that requests are checked against.
+     * @param document Active document.
      */
     void setDocument(std::shared_ptr<const Document> document);
 
     /**
-     * @brief Tells a caller its ticket.
+     * @brief Sends a caller its ticket: as the whole response to an asynchronous request, else as an event.
      * @param effect Effect to carry out.
      */
     void carryOut(const CallerTicket &effect);
 
     /**
-     * @brief Sends a piece of an answer.
+     * @brief Streams a piece of the result to the caller.
      * @param effect Effect to carry out.
      */
     void carryOut(const CallerPiece &effect);
 
     /**
-     * @brief Ends a call.
+     * @brief Sends the final answer and ends the call.
      * @param effect Effect to carry out.
      */
     void carryOut(const CallerAnswer &effect);
 
-    /*! @brief Returns the number of callers that wait for an answer. */
-    [[nodiscard]] std::size_t waiting() const noexcept;
+    /*! @brief Returns the number of calls without a final answer. */
+    [[nodiscard]] std::size_t waitingCalls() const noexcept;
 
 private:
     struct Call
     {
         std::shared_ptr<HttpResponder> responder;
-        AnswerForm form;
-        bool begun{};
-        /*! @brief Position of the next piece within the whole result. */
+        AnswerMode mode;
+        bool hasStreamStarted{};
+        /*! @brief Offset of the next piece within the result, in bytes. */
         std::uint64_t offset{};
         std::string ticket;
     };
 
-    [[nodiscard]] RequestId drawRequest();
-    void begin(Call &call);
-    void endStream(Call &call, const CallerAnswer &effect);
-    void dropSlow(CallId id, const Call &call);
+    [[nodiscard]] RequestId generateRequestId();
+    void beginStream(Call &call);
+    void finishStream(Call &call, const CallerAnswer &effect);
+    void dropIfSlow(CallId id, const Call &call);
 
     const TicketCodec &m_tickets;
     std::uint64_t m_seed;
-    Sink m_sink;
+    EventSink m_submitEvent;
     CallerContext m_context;
     std::uint64_t m_lastCall{};
-    std::uint64_t m_lastRequest{};
+    std::uint64_t m_generatedRequests{};
     std::unordered_map<std::uint64_t, Call> m_calls;
 };
 
--- a/src/bergamottide/app/callerrequest.cpp
+++ b/src/bergamottide/app/callerrequest.cpp
@@ -21,18 +21,16 @@
 
 constexpr std::string_view pipelinePath = "/v1/pipelines/";
 constexpr std::string_view requestPath = "/v1/requests/";
-constexpr std::string_view bearer = "Bearer ";
-/*! @brief Longest idempotency key; a key is a name, a longer one is a mistake. */
-constexpr std::size_t maxIdempotencyKey = 256;
+constexpr std::string_view bearerPrefix = "Bearer ";
+constexpr std::size_t maxIdempotencyKeyBytes = 256;
 /*!
- * @brief Bytes at the start of a body that decide which endpoint's cache is likely warm.
+ * @brief Bytes at the start of a body that are hashed for cache affinity.
  *
- * Long enough for requests with different system prompts to differ, short enough for
- * requests that differ in their last question to agree.
+ * Covers the part that tells system prompts apart, but not the last question of a conversation.
  */
-constexpr std::size_t prefixBytes = 256;
-/*! @brief Time a caller that fetches waits when it names none. */
-constexpr Duration defaultFetchTime = std::chrono::seconds{30};
+constexpr std::size_t hashedPrefixBytes = 256;
+/*! @brief Longest wait of a fetch by ticket without an `x-deadline` header. */
+constexpr Duration defaultFetchTimeout = std::chrono::seconds{30};
 
 using Sha256 = std::array<unsigned char, 32>;
 
@@ -43,12 +41,12 @@
     return digest;
 }
 
-absl::Status headerError(std::string_view name)
+absl::Status invalidHeader(std::string_view name)
 {
-    return makeError(Reason::MalformedHeader, name, "The header has no valid value");
+    return makeError(Reason::MalformedHeader, name, "The value of the header is not valid");
 }
 
-absl::StatusOr<bool> readFlag(const HttpHeaders &headers, std::string_view name)
+absl::StatusOr<bool> parseFlag(const HttpHeaders &headers, std::string_view name)
 {
     const std::string_view value = headerValue(headers, name);
     if (value.empty() || value == "0" || value == "false") {
@@ -57,30 +55,30 @@
     if (value == "1" || value == "true") {
         return true;
     }
-    return headerError(name);
+    return invalidHeader(name);
 }
 
-absl::StatusOr<std::uint32_t> readTokens(const HttpHeaders &headers)
+absl::StatusOr<std::uint32_t> parseMaxTokens(const HttpHeaders &headers)
 {
     constexpr std::string_view name = "x-max-tokens";
     const std::string value{headerValue(headers, name)};
     std::uint32_t tokens = 0;
     if (!value.empty() && (!absl::SimpleAtoi(value, &tokens) || tokens == 0)) {
-        return headerError(name);
+        return invalidHeader(name);
     }
     return tokens;
 }
 
-absl::StatusOr<std::string> readKey(const HttpHeaders &headers)
+absl::StatusOr<std::string> parseKeyDigest(const HttpHeaders &headers)
 {
     const std::string_view value = headerValue(headers, "authorization");
-    if (value.size() <= bearer.size() || !value.starts_with(bearer)) {
-        return makeError(Reason::MissingKey, "authorization", "A bearer key is required");
+    if (value.size() <= bearerPrefix.size() || !value.starts_with(bearerPrefix)) {
+        return makeError(Reason::MissingKey, "authorization", "The header must hold a bearer key");
     }
-    return keyDigest(value.substr(bearer.size()));
+    return keyDigest(value.substr(bearerPrefix.size()));
 }
 
-absl::StatusOr<std::optional<Duration>> readDeadline(const HttpHeaders &headers)
+absl::StatusOr<std::optional<Duration>> parseDeadline(const HttpHeaders &headers)
 {
     constexpr std::string_view name = "x-deadline";
     const std::string_view value = headerValue(headers, name);
@@ -89,7 +87,8 @@
     }
     const auto deadline = parseDuration(value);
     if (!deadline || deadline->count() <= 0) {
-        return makeError(Reason::InvalidDeadline, name, "A deadline is a duration above zero, such as 9s or 1500ms");
+        return makeError(Reason::InvalidDeadline, name,
+                         "The deadline must be a duration greater than zero, such as 9s or 1500ms");
     }
     return deadline;
 }
@@ -97,23 +96,23 @@
 absl::Status checkBody(const HttpRequest &request, const CallerContext &context)
 {
     if (context.document && request.body.size() > context.document->policy.maxBodyBytes) {
-        return makeError(Reason::BodyTooLarge, "body", "The body is larger than the policy allows");
+        return makeError(Reason::BodyTooLarge, "body", "The body exceeds the size limit of the policy");
     }
     if (!nlohmann::json::accept(request.body)) {
-        return makeError(Reason::MalformedBody, "body", "The body is not JSON");
+        return makeError(Reason::MalformedBody, "body", "The body is not valid JSON");
     }
     return absl::OkStatus();
 }
 
-/*! @brief Finds who owns a key, so that both keys of a workspace derive the same identities. */
-std::string ownerOf(const std::string &digest, const CallerContext &context)
+/*! @brief Returns the workspace of a key, so that all keys of a workspace derive the same request identities. */
+std::string findKeyOwner(const std::string &digest, const CallerContext &context)
 {
     if (!context.document) {
         return digest;
     }
     for (const auto &[name, workspace] : context.document->workspaces) {
-        for (const std::string &known : workspace.keyDigests) {
-            if (known == digest) {
+        for (const std::string &knownDigest : workspace.keyDigests) {
+            if (knownDigest == digest) {
                 return name.text();
             }
         }
@@ -121,7 +120,7 @@
     return digest;
 }
 
-RequestId deriveRequest(const std::string &owner, std::string_view key)
+RequestId deriveRequestId(const std::string &owner, std::string_view key)
 {
     const std::string text = absl::StrCat(owner, std::string(1, '\0'), std::string{key});
     const Sha256 digest = sha256(text);
@@ -131,34 +130,35 @@
     return request;
 }
 
-absl::Status readIdentity(const HttpRequest &request, const CallerContext &context, CallerSubmitted &submitted)
+absl::Status parseRequestId(const HttpRequest &request, const CallerContext &context, CallerSubmitted &submitted)
 {
     const std::string_view id = headerValue(request.headers, "x-request-id");
     const std::string_view key = headerValue(request.headers, "idempotency-key");
     if (!id.empty() && !key.empty()) {
-        return makeError(Reason::MalformedHeader, "idempotency-key", "A request has an id or an idempotency key");
+        return makeError(Reason::MalformedHeader, "idempotency-key",
+                         "x-request-id and idempotency-key must not be combined");
     }
-    if (key.size() > maxIdempotencyKey) {
-        return headerError("idempotency-key");
+    if (key.size() > maxIdempotencyKeyBytes) {
+        return invalidHeader("idempotency-key");
     }
     if (!key.empty()) {
         submitted.keyed = true;
-        submitted.request = deriveRequest(ownerOf(submitted.keyDigest, context), key);
+        submitted.request = deriveRequestId(findKeyOwner(submitted.keyDigest, context), key);
         return absl::OkStatus();
     }
     if (id.empty()) {
-        submitted.request = context.drawRequest();
+        submitted.request = context.generateRequestId();
         return absl::OkStatus();
     }
     const auto parsed = RequestId::parse(id);
     if (!parsed) {
-        return headerError("x-request-id");
+        return invalidHeader("x-request-id");
     }
     submitted.request = *parsed;
     return absl::OkStatus();
 }
 
-absl::Status readTicket(const HttpRequest &request, const CallerContext &context, CallerSubmitted &submitted)
+absl::Status parseTicket(const HttpRequest &request, const CallerContext &context, CallerSubmitted &submitted)
 {
     const std::string_view text = headerValue(request.headers, "x-ticket");
     if (text.empty()) {
@@ -174,33 +174,33 @@
     return absl::OkStatus();
 }
 
-std::uint64_t prefixOf(const std::string &body)
+std::uint64_t hashBodyPrefix(const std::string &body)
 {
-    const std::size_t length = std::min(prefixBytes, body.size());
+    const std::size_t length = std::min(hashedPrefixBytes, body.size());
     return XXH3_64bits(body.data(), length);
 }
 
-bool wantsEvents(const HttpHeaders &headers)
+bool acceptsEventStream(const HttpHeaders &headers)
 {
     return headerValue(headers, "accept").find("text/event-stream") != std::string_view::npos;
 }
 
-/*! @brief Reads the headers that hold one value each. */
-absl::Status readOptions(const HttpRequest &request, CallerSubmitted &submitted)
+/*! @brief Parses the optional headers. */
+absl::Status parseOptions(const HttpRequest &request, CallerSubmitted &submitted)
 {
-    const auto deadline = readDeadline(request.headers);
+    const auto deadline = parseDeadline(request.headers);
     if (!deadline.ok()) {
         return deadline.status();
     }
-    const auto nonIdempotent = readFlag(request.headers, "x-non-idempotent");
+    const auto nonIdempotent = parseFlag(request.headers, "x-non-idempotent");
     if (!nonIdempotent.ok()) {
         return nonIdempotent.status();
     }
-    const auto wantsTicket = readFlag(request.headers, "x-want-ticket");
+    const auto wantsTicket = parseFlag(request.headers, "x-want-ticket");
     if (!wantsTicket.ok()) {
         return wantsTicket.status();
     }
-    const auto tokens = readTokens(request.headers);
+    const auto tokens = parseMaxTokens(request.headers);
     if (!tokens.ok()) {
         return tokens.status();
     }
@@ -212,46 +212,46 @@
     return absl::OkStatus();
 }
 
-absl::StatusOr<CallerRequest> readSubmission(CallId call, const HttpRequest &request, const CallerContext &context)
+absl::StatusOr<CallerRequest> parseSubmission(CallId call, const HttpRequest &request, const CallerContext &context)
 {
     CallerSubmitted submitted;
     submitted.call = call;
     submitted.pipeline = PipelineName{request.path.substr(pipelinePath.size())};
-    auto key = readKey(request.headers);
+    auto key = parseKeyDigest(request.headers);
     if (!key.ok()) {
         return key.status();
     }
     submitted.keyDigest = *std::move(key);
-    const std::array checks{readOptions(request, submitted), readIdentity(request, context, submitted),
-                            readTicket(request, context, submitted), checkBody(request, context)};
+    const std::array checks{parseOptions(request, submitted), parseRequestId(request, context, submitted),
+                            parseTicket(request, context, submitted), checkBody(request, context)};
     for (const absl::Status &check : checks) {
         if (!check.ok()) {
             return check;
         }
     }
-    AnswerForm form;
-    form.streaming = wantsEvents(request.headers);
-    form.detached = headerValue(request.headers, "prefer") == "respond-async";
-    submitted.streaming = form.streaming;
-    submitted.wantsTicket = submitted.wantsTicket || form.detached;
-    submitted.prefix = prefixOf(request.body);
+    AnswerMode mode;
+    mode.streaming = acceptsEventStream(request.headers);
+    mode.isAsynchronous = headerValue(request.headers, "prefer") == "respond-async";
+    submitted.streaming = mode.streaming;
+    submitted.wantsTicket = submitted.wantsTicket || mode.isAsynchronous;
+    submitted.prefix = hashBodyPrefix(request.body);
     submitted.body = request.body;
-    return CallerRequest{std::move(submitted), form};
+    return CallerRequest{std::move(submitted), mode};
 }
 
-absl::StatusOr<std::uint64_t> readOffset(const HttpRequest &request)
+absl::StatusOr<std::uint64_t> parseOffset(const HttpRequest &request)
 {
     const std::string text{queryValue(request.query, "offset")};
     std::uint64_t offset = 0;
     if (!text.empty() && !absl::SimpleAtoi(text, &offset)) {
-        return makeError(Reason::MalformedHeader, "offset", "An offset is a number of bytes");
+        return makeError(Reason::MalformedHeader, "offset", "The offset must be a number of bytes");
     }
     return offset;
 }
 
-absl::StatusOr<CallerRequest> readTicketCall(CallId call, const HttpRequest &request, const CallerContext &context)
+absl::StatusOr<CallerRequest> parseTicketRequest(CallId call, const HttpRequest &request, const CallerContext &context)
 {
-    auto key = readKey(request.headers);
+    auto key = parseKeyDigest(request.headers);
     if (!key.ok()) {
         return key.status();
     }
@@ -262,33 +262,33 @@
     if (request.method == "DELETE") {
         return CallerRequest{CallerCanceled{call, *std::move(key), *ticket}, {}};
     }
-    const auto offset = readOffset(request);
+    const auto offset = parseOffset(request);
     if (!offset.ok()) {
         return offset.status();
     }
-    const auto deadline = readDeadline(request.headers);
+    const auto deadline = parseDeadline(request.headers);
     if (!deadline.ok()) {
         return deadline.status();
     }
-    const AnswerForm form{wantsEvents(request.headers), false};
+    const AnswerMode mode{acceptsEventStream(request.headers), false};
     return CallerRequest{
-        CallerFetched{call, *std::move(key), *ticket, *offset, form.streaming, deadline->value_or(defaultFetchTime)},
-        form};
+        CallerFetched{call, *std::move(key), *ticket, *offset, mode.streaming, deadline->value_or(defaultFetchTimeout)},
+        mode};
 }
 
 } // namespace
 
-absl::StatusOr<CallerRequest> readCallerRequest(CallId call, const HttpRequest &request, const CallerContext &context)
+absl::StatusOr<CallerRequest> parseCallerRequest(CallId call, const HttpRequest &request, const CallerContext &context)
 {
-    const bool submits = request.method == "POST" && request.path.starts_with(pipelinePath);
-    if (submits) {
-        return readSubmission(call, request, context);
+    const bool isSubmission = request.method == "POST" && request.path.starts_with(pipelinePath);
+    if (isSubmission) {
+        return parseSubmission(call, request, context);
     }
-    const bool known = request.method == "GET" || request.method == "DELETE";
-    if (known && request.path.starts_with(requestPath)) {
-        return readTicketCall(call, request, context);
+    const bool isTicketMethod = request.method == "GET" || request.method == "DELETE";
+    if (isTicketMethod && request.path.starts_with(requestPath)) {
+        return parseTicketRequest(call, request, context);
     }
-    return makeError(Reason::UnknownPipeline, "path", "There is nothing at this method and path");
+    return makeError(Reason::UnknownPipeline, "path", "No resource exists for this method and path");
 }
 
 std::string keyDigest(std::string_view key)
--- a/src/bergamottide/app/callerrequest.h
+++ b/src/bergamottide/app/callerrequest.h
@@ -18,53 +18,52 @@
 
 /**
  * @file
- * @brief HTTP requests of callers read into events; docs/callers.md describes the interface.
+ * @brief Parses callers' HTTP requests into events; docs/callers.md describes the interface.
  */
 
-/*! @brief What the reader of callers' requests depends on. */
+/*! @brief Dependencies of the request parser. */
 struct CallerContext
 {
-    /*! @brief Document in force; null before the first. */
+    /*! @brief Active configuration document; null until the first one arrives. */
     std::shared_ptr<const Document> document;
     const TicketCodec *tickets{};
-    /*! @brief Draws the identity of a request that brings none. */
-    std::function<RequestId()> drawRequest;
+    /*! @brief Generates an identity for a request that has none. */
+    std::function<RequestId()> generateRequestId;
 };
 
-/*! @brief How a caller wants its answer. */
-struct AnswerForm
+/*! @brief How the answer to a request is delivered. */
+struct AnswerMode
 {
-    /*! @brief Server-sent events. */
+    /*! @brief As server-sent events. */
     bool streaming{};
-    /*! @brief Answered at once with the ticket; the result is fetched by it. */
-    bool detached{};
+    /*! @brief The response holds only the ticket; the caller fetches the result with it later. */
+    bool isAsynchronous{};
 };
 
-/*! @brief One caller's request, in good form. */
+/*! @brief A parsed request. */
 struct CallerRequest
 {
     std::variant<CallerSubmitted, CallerFetched, CallerCanceled> event;
-    AnswerForm form;
+    AnswerMode mode;
 };
 
 /**
- * @brief Reads a caller's request.
+ * @brief Parses a caller's request.
  *
- * Checks the form alone; whether the key, the pipeline and the deadline are acceptable is
- * the entry's decision. The first fault found is reported, and nothing is dispatched.
+ * Checks the syntax only; the entry checks the key, the pipeline and the deadline. Reports the first error found.
  *
  * @param call Connection of the caller.
  * @param request HTTP request.
- * @param context What reading depends on.
- * @return The event, or an error whose field names the header or part at fault.
+ * @param context Dependencies of the parser.
+ * @return The event, or an error whose field names the invalid header or part.
  */
-[[nodiscard]] absl::StatusOr<CallerRequest> readCallerRequest(CallId call, const HttpRequest &request,
-                                                              const CallerContext &context);
+[[nodiscard]] absl::StatusOr<CallerRequest> parseCallerRequest(CallId call, const HttpRequest &request,
+                                                               const CallerContext &context);
 
 /**
- * @brief Returns the digest of a bearer key.
+ * @brief Returns the digest under which a bearer key is configured.
  * @param key Key as the caller sent it.
- * @return Lower case hexadecimal SHA-256.
+ * @return SHA-256 digest in lower case hexadecimal.
  */
 [[nodiscard]] std::string keyDigest(std::string_view key);
 
--- a/src/bergamottide/app/entryapp.cpp
+++ b/src/bergamottide/app/entryapp.cpp
@@ -10,19 +10,15 @@
 
 namespace {
 
-/*!
- * @brief Time after the last answer before the process ends.
- *
- * The answers are with the kernel by then; sockets closed at once could cut off a slow reader.
- */
-constexpr Duration flushTime = std::chrono::milliseconds{300};
-/*! @brief Largest body of a caller read at all: the largest limit that a document may set. */
+/*! @brief Time between the last answer and the exit, so that the kernel can send what is buffered. */
+constexpr Duration flushDelay = std::chrono::milliseconds{300};
+/*! @brief Upper bound of the body size; equals the largest limit that a configuration document may set. */
 constexpr std::size_t maxBodyBytes = 64u << 20;
-/*! @brief Time for which the stream to a side that vanished from the list is kept: the longest deadline allowed. */
-constexpr Duration vanishedKeepTime = std::chrono::seconds{60};
-constexpr Duration expiryPeriod = std::chrono::seconds{1};
+/*! @brief Time for which the stream to a sidecar that left the instance list is kept: the longest allowed deadline. */
+constexpr Duration removedPeerRetention = std::chrono::seconds{60};
+constexpr Duration peerExpiryPeriod = std::chrono::seconds{1};
 
-EntryIdentity identityOf(const Settings &settings, Incarnation incarnation)
+EntryIdentity makeIdentity(const Settings &settings, Incarnation incarnation)
 {
     return EntryIdentity{settings.instance, settings.region, settings.zone, incarnation,
                          static_cast<std::uint64_t>(incarnation)};
@@ -57,14 +53,14 @@
     , m_settings{settings}
     , m_telemetry{settings, clock}
     , m_tickets{std::move(ticketKeys)}
-    , m_reducer{identityOf(settings, incarnation)}
-    , m_reactor{loop, m_reducer,
-                [this](EntryEffect effect) {
-                    carryOut(std::move(effect));
-                }}
+    , m_reducer{makeIdentity(settings, incarnation)}
+    , m_runner{loop, m_reducer,
+               [this](EntryEffect effect) {
+                   carryOut(std::move(effect));
+               }}
     , m_callers{m_tickets, static_cast<std::uint64_t>(incarnation),
                 [this](EntryEvent event) {
-                    m_reactor.submit(std::move(event));
+                    m_runner.submit(std::move(event));
                 }}
     , m_admin{settings.adminKeyDigest, adminHooks()}
     , m_callerServer{loop, callerOptions(settings),
@@ -80,7 +76,7 @@
               [this](const Instance &instance) {
                   return instance.role == Role::Side && instance.region == m_settings.region;
               },
-              vanishedKeepTime}
+              removedPeerRetention}
     , m_feed{loop, feedOptions(settings, incarnation), feedHooks()}
 {
 }
@@ -93,7 +89,7 @@
     if (status.ok()) {
         carryOut(AuditRecord{AuditKind::Start, m_settings.instance.text(), "process started", {}});
         m_feed.start();
-        m_reactor.submit(Tick{});
+        m_runner.submit(Tick{});
         expirePeers();
     }
     return status;
@@ -102,16 +98,17 @@
 void EntryApp::drain(const std::string &cause)
 {
     m_draining = true;
-    m_reactor.submit(DrainRequested{cause});
+    m_runner.submit(DrainRequested{cause});
 }
 
-void EntryApp::reload()
+void EntryApp::reloadTls()
 {
     const absl::Status status = m_callerServer.reloadTls();
-    carryOut(LogLine{status.ok() ? Severity::Info : Severity::Error,
-                     Part::Net,
-                     status.ok() ? "The certificates were read again." : "The certificates could not be read.",
-                     {{"detail", std::string{status.message()}}}});
+    carryOut(
+        LogLine{status.ok() ? Severity::Info : Severity::Error,
+                Part::Net,
+                status.ok() ? "The TLS certificates were reloaded." : "The TLS certificates could not be reloaded.",
+                {{"detail", std::string{status.message()}}}});
 }
 
 std::string EntryApp::callersAddress() const
@@ -131,13 +128,13 @@
 
 void EntryApp::expirePeers()
 {
-    m_peers.expire(m_loop.now());
-    m_loop.at(m_loop.now() + expiryPeriod, [this] { expirePeers(); });
+    m_peers.closeExpired(m_loop.now());
+    m_loop.at(m_loop.now() + peerExpiryPeriod, [this] { expirePeers(); });
 }
 
 void EntryApp::carryOut(EntryEffect effect)
 {
-    std::visit([this](const auto &one) { carryOut(one); }, effect);
+    std::visit([this](const auto &value) { carryOut(value); }, effect);
 }
 
 void EntryApp::carryOut(const SendMessage &effect)
@@ -168,7 +165,7 @@
 void EntryApp::carryOut(const DrainComplete &)
 {
     m_callerServer.shutdown();
-    m_loop.at(m_loop.now() + flushTime, [this] { m_loop.stop(); });
+    m_loop.at(m_loop.now() + flushDelay, [this] { m_loop.stop(); });
 }
 
 void EntryApp::carryOut(const LogLine &line)
@@ -191,15 +188,15 @@
     PlatformFeedHooks hooks;
     hooks.document = [this](ConfigChanged change) {
         m_callers.setDocument(change.document);
-        m_reactor.submit(std::move(change));
+        m_runner.submit(std::move(change));
     };
     hooks.view = [this](std::shared_ptr<const InstanceView> view) {
         m_peers.update(*view, m_loop.now());
-        m_reactor.submit(ViewChanged{std::move(view)});
+        m_runner.submit(ViewChanged{std::move(view)});
     };
     hooks.send = [this](const SendMessage &effect) {
         if (std::holds_alternative<ConfigSubscribe>(effect.message)) {
-            m_peers.require(effect.to, m_loop.now());
+            m_peers.requestStream(effect.to, m_loop.now());
         }
         carryOut(effect);
     };
@@ -219,17 +216,17 @@
 {
     PeerHooks hooks;
     hooks.up = [this](const InstanceName &peer) {
-        m_peers.opened(peer);
-        m_reactor.submit(PeerUp{peer});
+        m_peers.handleOpened(peer);
+        m_runner.submit(PeerUp{peer});
     };
     hooks.down = [this](const InstanceName &peer) {
-        m_peers.closed(peer, m_loop.now());
-        m_feed.closed(peer);
-        m_reactor.submit(PeerDown{peer});
+        m_peers.handleClosed(peer, m_loop.now());
+        m_feed.handleStreamClosed(peer);
+        m_runner.submit(PeerDown{peer});
     };
     hooks.received = [this](const InstanceName &peer, Message message) {
-        m_feed.received(peer, message);
-        m_reactor.submit(PeerMessage{peer, std::move(message)});
+        m_feed.handleMessage(peer, message);
+        m_runner.submit(PeerMessage{peer, std::move(message)});
     };
     return hooks;
 }
@@ -257,7 +254,7 @@
 
 bool EntryApp::ready() const
 {
-    return !m_draining && m_feed.version() != 0 && m_feed.revision() != 0 && m_peers.open() != 0;
+    return !m_draining && m_feed.version() != 0 && m_feed.revision() != 0 && m_peers.openCount() != 0;
 }
 
 std::string EntryApp::status() const
@@ -268,9 +265,9 @@
     status["zone"] = m_settings.zone.text();
     status["draining"] = m_draining;
     status["in_progress"] = m_reducer.inProgress();
-    status["callers"] = m_callers.waiting();
-    status["peers_open"] = m_peers.open();
-    status["peers_wanted"] = m_peers.wanted();
+    status["callers"] = m_callers.waitingCalls();
+    status["peers_open"] = m_peers.openCount();
+    status["peers_wanted"] = m_peers.wantedCount();
     status["control_bytes"] = m_transport.bytes();
     return status.dump();
 }
--- a/src/bergamottide/app/entryapp.h
+++ b/src/bergamottide/app/entryapp.h
@@ -4,7 +4,7 @@
 #include "bergamottide/app/callerport.h"
 #include "bergamottide/app/peerset.h"
 #include "bergamottide/app/platformfeed.h"
-#include "bergamottide/app/reactor.h"
+#include "bergamottide/app/reducerrunner.h"
 #include "bergamottide/app/telemetry.h"
 #include "bergamottide/config/settings.h"
 #include "bergamottide/entry/entryreducer.h"
@@ -21,42 +21,44 @@
 namespace bergamottide {
 
 /**
- * @brief An entry as a process: its reducer with the callers' port, the streams to the sides, the
- * platform's clients and the admin port around it.
+ * @brief Process that accepts callers' requests and runs their stages on endpoints.
+ *
+ * Connects an `EntryReducer` with the callers' HTTP server, the streams to the endpoints' sidecars, the
+ * platform's clients and the admin port.
  */
 class EntryApp
 {
 public:
     /**
      * @brief Creates an entry that does not listen yet.
-     * @param loop Loop it runs on; outlives the entry.
-     * @param clock Source of the wall time for log and audit trail; outlives the object.
+     * @param loop Event loop; outlives the entry.
+     * @param clock Source of the wall time for log and audit trail; outlives the entry.
      * @param settings Settings of the process.
-     * @param ticketKeys Keys that authenticate tickets, at least one.
+     * @param ticketKeys Keys that authenticate tickets, at least one; the first one signs.
      * @param incarnation Number of this start of the process.
      */
     EntryApp(Loop &loop, const Clock &clock, const Settings &settings, std::vector<TicketKey> ticketKeys,
              Incarnation incarnation);
 
-    /*! @brief Listens on its ports and starts to read the platform. */
+    /*! @brief Opens the ports and starts to read configuration and instance list from the platform. */
     [[nodiscard]] absl::Status start();
 
     /**
-     * @brief Starts a graceful shutdown; the loop is stopped at its end.
-     * @param cause Why, for the audit trail.
+     * @brief Starts a graceful shutdown, which ends by stopping the loop.
+     * @param cause Cause written to the audit trail.
      */
     void drain(const std::string &cause);
 
-    /*! @brief Reads the certificate files again. */
-    void reload();
+    /*! @brief Reloads the TLS certificate of the callers' port. */
+    void reloadTls();
 
-    /*! @brief Returns the address of the callers' port. */
+    /*! @brief Returns the listen address for callers. */
     [[nodiscard]] std::string callersAddress() const;
 
-    /*! @brief Returns the address of the admin port. */
+    /*! @brief Returns the listen address of the admin port. */
     [[nodiscard]] std::string adminAddress() const;
 
-    /*! @brief Returns the address for other processes of the system. */
+    /*! @brief Returns the listen address for peers. */
     [[nodiscard]] std::string peersAddress() const;
 
 private:
@@ -74,7 +76,7 @@
     [[nodiscard]] PlatformFeedHooks feedHooks();
     [[nodiscard]] PeerHooks peerHooks();
     [[nodiscard]] AdminHooks adminHooks();
-    /*! @brief Closes the streams to sides that vanished long ago, and comes back. */
+    /*! @brief Closes expired streams periodically. */
     void expirePeers();
     [[nodiscard]] bool ready() const;
     [[nodiscard]] std::string status() const;
@@ -84,7 +86,7 @@
     Telemetry m_telemetry;
     TicketCodec m_tickets;
     EntryReducer m_reducer;
-    Reactor<EntryReducer, EntryEvent, EntryEffect, Tick> m_reactor;
+    ReducerRunner<EntryReducer, EntryEvent, EntryEffect, Tick> m_runner;
     CallerPort m_callers;
     AdminPort m_admin;
     HttpServer m_callerServer;
--- a/src/bergamottide/app/peerport.cpp
+++ b/src/bergamottide/app/peerport.cpp
@@ -13,15 +13,14 @@
 constexpr std::string_view heartbeatPath = "/peer/heartbeat";
 constexpr std::string_view taskPath = "/peer/task";
 constexpr std::string_view releasedPath = "/peer/released";
-constexpr std::string_view publishedPath = "/peer/published";
+constexpr std::string_view storeDataPath = "/peer/published";
 
-/*! @brief Time for which bytes to a peer may stay unacknowledged. */
-constexpr Duration unacknowledged = std::chrono::milliseconds{1000};
+/*! @brief Time for which sent bytes may stay unacknowledged before the connection is closed. */
+constexpr Duration maxUnacknowledgedTime = std::chrono::milliseconds{1000};
 constexpr Duration connectTimeout = std::chrono::milliseconds{400};
-/*! @brief A heartbeat that is not answered by then has failed; the peer counts as gone somewhat later. */
 constexpr Duration heartbeatTimeout = std::chrono::milliseconds{600};
-/*! @brief A task may wait for its turn for as long as its request; silence shows by the heartbeats. */
-constexpr Duration taskTimeout = std::chrono::seconds{20};
+/*! @brief Long enough for a queued task; heartbeats detect a dead peer much earlier. */
+constexpr Duration taskIoTimeout = std::chrono::seconds{20};
 constexpr Duration closePollPeriod = std::chrono::milliseconds{200};
 
 HttpServerOptions serverOptions(const std::string &address)
@@ -29,16 +28,16 @@
     HttpServerOptions options;
     options.listen = address;
     options.closePollPeriod = closePollPeriod;
-    options.unacknowledged = unacknowledged;
+    options.unacknowledged = maxUnacknowledgedTime;
     return options;
 }
 
-HttpClientOptions clientOptions(Duration silence)
+HttpClientOptions clientOptions(Duration ioTimeout)
 {
     HttpClientOptions options;
-    options.ioTimeout = silence;
+    options.ioTimeout = ioTimeout;
     options.connectTimeout = connectTimeout;
-    options.unacknowledged = unacknowledged;
+    options.unacknowledged = maxUnacknowledgedTime;
     return options;
 }
 
@@ -60,8 +59,8 @@
                [this](const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder) {
                    handle(request, responder);
                }}
-    , m_client{loop, clientOptions(taskTimeout)}
-    , m_heartbeats{loop, clientOptions(heartbeatTimeout)}
+    , m_taskClient{loop, clientOptions(taskIoTimeout)}
+    , m_heartbeatClient{loop, clientOptions(heartbeatTimeout)}
 {
 }
 
@@ -73,85 +72,85 @@
 void PeerPort::handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder)
 {
     if (request.path == heartbeatPath) {
-        const auto from = takeHeartbeat(request.body);
+        const auto from = receiveHeartbeat(request.body);
         responder->answer(from.ok() ? HttpAnswer{200, {}, peerwire::write(m_hooks.heartbeat(*from))}
                                     : HttpAnswer{400, {}, {}});
         return;
     }
     if (request.path == taskPath) {
-        takeTask(request, responder);
+        receiveTask(request, responder);
         return;
     }
     if (request.path == releasedPath) {
-        auto handles = peerwire::readHandles(request.body);
+        auto handles = peerwire::decodeHandles(request.body);
         responder->answer({handles.ok() ? 200 : 400, {}, {}});
         if (handles.ok()) {
             m_hooks.submit(PeerReleased{*std::move(handles)});
         } else {
-            logUnreadable(handles.status());
+            logMalformedMessage(handles.status());
         }
         return;
     }
-    if (request.path == publishedChangesPath && m_published.changes) {
-        m_published.changes(request.query, responder);
+    if (request.path == publishedChangesPath && m_storeHandlers.changes) {
+        m_storeHandlers.changes(request.query, responder);
         return;
     }
-    if (request.path == publishedPath && m_published.all) {
-        const auto body = m_published.all(request.query);
+    if (request.path == storeDataPath && m_storeHandlers.snapshot) {
+        const auto body = m_storeHandlers.snapshot(request.query);
         responder->answer({body ? 200 : 204, {}, body.value_or(std::string{})});
         return;
     }
     responder->answer({404, {}, {}});
 }
 
-void PeerPort::onPublishedAsked(PublishedAnswers answers)
+void PeerPort::onPublishedAsked(StoreHandlers handlers)
 {
-    m_published = std::move(answers);
+    m_storeHandlers = std::move(handlers);
 }
 
 void PeerPort::askPublished(const PeerInfo &peer, const std::string &query,
-                            std::function<void(const std::string &body)> then)
+                            std::function<void(const std::string &body)> onBody)
 {
     HttpRequest request;
     request.method = "GET";
-    request.path = publishedPath;
+    request.path = storeDataPath;
     request.query = query;
     HttpCallHooks hooks;
-    hooks.done = [then = std::move(then)](const HttpAnswer &answer) {
+    hooks.done = [onBody = std::move(onBody)](const HttpAnswer &answer) {
         if (answer.status == 200) {
-            then(answer.body);
+            onBody(answer.body);
         }
     };
-    // Another peer is asked next time.
+    // The caller asks another peer next time.
     hooks.failed = [](HttpFailure) {
     };
-    m_heartbeats.call(peer.address, std::move(request), std::move(hooks));
+    m_heartbeatClient.call(peer.address, std::move(request), std::move(hooks));
 }
 
-void PeerPort::takeTask(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder)
+void PeerPort::receiveTask(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder)
 {
-    auto task = peerwire::readTask(request.body, m_loop.now());
+    auto task = peerwire::decodeTask(request.body, m_loop.now());
     if (!task.ok()) {
-        logUnreadable(task.status());
+        logMalformedMessage(task.status());
         responder->answer({400, {}, {}});
         return;
     }
-    const PeerTaskNumber number{++m_lastAsked};
-    m_asked.emplace(number, responder);
+    const PeerTaskNumber number{++m_lastPeerTask};
+    m_peerTasks.emplace(number, responder);
     responder->onClosed([this, number] {
-        if (m_asked.erase(number) != 0) {
+        if (m_peerTasks.erase(number) != 0) {
             m_hooks.submit(PeerTaskGone{number});
         }
     });
     m_hooks.submit(PeerTaskArrived{number, *std::move(task)});
 }
 
-/*! @brief Takes a heartbeat, and returns the address of its sender. */
-absl::StatusOr<std::string> PeerPort::takeHeartbeat(const std::string &text)
+/*! @brief Submits a heartbeat and returns the address of its sender. */
+absl::StatusOr<std::string> PeerPort::receiveHeartbeat(const std::string &text)
 {
-    auto heartbeat = peerwire::readHeartbeat(text);
+    auto heartbeat = peerwire::decodeHeartbeat(text);
     if (!heartbeat.ok()) {
-        logUnreadable(heartbeat.status());
+        logMalformedMessage(heartbeat.status());
         return heartbeat.status();
     }
     std::string address = heartbeat->from.address;
@@ -164,15 +163,15 @@
     HttpCallHooks hooks;
     hooks.done = [this](const HttpAnswer &answer) {
         if (answer.status == 200) {
-            // An unreadable one is logged there.
-            static_cast<void>(takeHeartbeat(answer.body));
+            // receiveHeartbeat logs errors.
+            static_cast<void>(receiveHeartbeat(answer.body));
         }
     };
-    // A peer that does not answer is told by its silence.
+    // A peer is considered lost when its heartbeats are missing; a failed call needs no handling.
     hooks.failed = [](HttpFailure) {
     };
-    m_heartbeats.call(effect.address, post(heartbeatPath, peerwire::write(m_hooks.heartbeat(effect.address))),
-                      std::move(hooks));
+    m_heartbeatClient.call(effect.address, post(heartbeatPath, peerwire::write(m_hooks.heartbeat(effect.address))),
+                           std::move(hooks));
 }
 
 void PeerPort::carryOut(const HandTask &effect)
@@ -181,23 +180,23 @@
     const InstanceName peer = effect.peer.instance;
     HttpCallHooks hooks;
     hooks.done = [this, task, peer](const HttpAnswer &answer) {
-        handedEnded(task, peer, answer);
+        handleTaskAnswer(task, peer, answer);
     };
     hooks.failed = [this, task, peer](HttpFailure) {
-        if (m_handed.erase(task) != 0) {
+        if (m_delegatedTasks.erase(task) != 0) {
             m_hooks.submit(HandedTaskEnded{task, peer, {}});
         }
     };
-    m_handed[task] = m_client.call(effect.peer.address, post(taskPath, peerwire::write(effect.task, m_loop.now())),
-                                   std::move(hooks));
+    m_delegatedTasks[task] = m_taskClient.call(
+        effect.peer.address, post(taskPath, peerwire::write(effect.task, m_loop.now())), std::move(hooks));
 }
 
-void PeerPort::handedEnded(StageTaskId task, const InstanceName &peer, const HttpAnswer &answer)
+void PeerPort::handleTaskAnswer(StageTaskId task, const InstanceName &peer, const HttpAnswer &answer)
 {
-    if (m_handed.erase(task) == 0) {
+    if (m_delegatedTasks.erase(task) == 0) {
         return;
     }
-    auto outcomes = peerwire::readOutcomes(answer.body, task);
+    auto outcomes = peerwire::decodeOutcomes(answer.body, task);
     if (answer.status != 200 || !outcomes.ok()) {
         m_hooks.submit(HandedTaskEnded{task, peer, {}});
         return;
@@ -208,15 +207,15 @@
 
 void PeerPort::carryOut(const RecallTask &effect)
 {
-    const auto node = m_handed.extract(effect.task);
+    const auto node = m_delegatedTasks.extract(effect.task);
     if (!node.empty()) {
-        m_client.cancel(node.mapped());
+        m_taskClient.cancel(node.mapped());
     }
 }
 
 void PeerPort::carryOut(const AnswerPeerTask &effect)
 {
-    const auto node = m_asked.extract(effect.number);
+    const auto node = m_peerTasks.extract(effect.number);
     if (!node.empty()) {
         node.mapped()->answer({200, {}, peerwire::write(effect.outcomes)});
     }
@@ -227,17 +226,18 @@
     HttpCallHooks hooks;
     hooks.done = [](const HttpAnswer &) {
     };
-    // The owner drops its record of the results when they lapse.
+    // Nothing to do: the queue owner drops its record when the results expire.
     hooks.failed = [](HttpFailure) {
     };
-    m_client.call(effect.peer.address, post(releasedPath, peerwire::writeHandles(effect.handles)), std::move(hooks));
+    m_taskClient.call(effect.peer.address, post(releasedPath, peerwire::encodeHandles(effect.handles)),
+                      std::move(hooks));
 }
 
-void PeerPort::logUnreadable(const absl::Status &status)
+void PeerPort::logMalformedMessage(const absl::Status &status)
 {
     m_hooks.log({Severity::Warning,
                  Part::Net,
-                 "A peer's message cannot be read.",
+                 "A malformed message from a peer was rejected.",
                  {{"reason", std::string{status.message()}}}});
 }
 
--- a/src/bergamottide/app/peerport.h
+++ b/src/bergamottide/app/peerport.h
@@ -17,54 +17,54 @@
 
 namespace bergamottide {
 
-/*! @brief What a peer port asks of its process. */
+/*! @brief Callbacks through which a peer port reaches its process. */
 struct PeerPortHooks
 {
-    /*! @brief Takes an event that comes from a peer. */
+    /*! @brief Takes an event caused by a peer. */
     std::function<void(serving::Event event)> submit;
-    /*! @brief Returns what this process tells the peer at an address. */
+    /*! @brief Returns the heartbeat to send to the peer at an address. */
     std::function<serving::Heartbeat(const std::string &to)> heartbeat;
     std::function<void(const LogLine &line)> log;
 };
 
-/*! @brief Answers to peers that ask for what the platform has published. */
-struct PublishedAnswers
+/*! @brief Handlers of peers' requests for the data of the platform's store. */
+struct StoreHandlers
 {
-    /*! @brief Returns all of it for a query, or nothing. */
-    std::function<std::optional<std::string>(const std::string &query)> all;
-    /*! @brief Answers a query for changes, when there are any. */
+    /*! @brief Returns the body for a query; nothing if there is no newer data. */
+    std::function<std::optional<std::string>(const std::string &query)> snapshot;
+    /*! @brief Answers a query for changes, possibly later (long poll). */
     std::function<void(const std::string &query, const std::shared_ptr<HttpResponder> &responder)> changes;
 };
 
-/*! @brief Path at which a peer is asked for changes of what the platform has published. */
+/*! @brief Path at which peers ask for changes of the store's data. */
 inline constexpr std::string_view publishedChangesPath = "/peer/published/changes";
 
 /**
- * @brief Talks with the peers of a process that serves callers: heartbeats, and stage tasks handed over.
+ * @brief HTTP server and clients for the other serving processes: heartbeats and delegated stage tasks.
  *
- * A task is one HTTP call that is answered when its pieces are made. A connection that breaks or falls silent therefore
- * tells both ends at once: one does the work elsewhere, the other drops it.
+ * A delegated task is one HTTP call that is answered when the task is done. A lost connection therefore informs both
+ * ends: the sender retries elsewhere, the receiver cancels the task.
  */
 class PeerPort
 {
 public:
     /**
      * @brief Creates a port that does not listen yet.
-     * @param loop Loop it runs on; outlives the port.
+     * @param loop Event loop; outlives the port.
      * @param address Address to listen on.
-     * @param hooks What the port asks of its process.
+     * @param hooks Callbacks into the process.
      */
     PeerPort(Loop &loop, const std::string &address, PeerPortHooks hooks);
 
     /*! @brief Starts to listen. */
     [[nodiscard]] absl::Status listen();
 
-    /*! @brief Sets what answers a peer that asks for what the platform has published. */
-    void onPublishedAsked(PublishedAnswers answers);
+    /*! @brief Sets the handlers of peers' requests for the store's data. */
+    void onPublishedAsked(StoreHandlers handlers);
 
-    /*! @brief Asks a peer for what the platform has published; `then` is called with the body if there is one. */
+    /*! @brief Requests the store's data from a peer; `onBody` is called only if the peer returns a body. */
     void askPublished(const serving::PeerInfo &peer, const std::string &query,
-                      std::function<void(const std::string &body)> then);
+                      std::function<void(const std::string &body)> onBody);
 
     void carryOut(const serving::SendHeartbeat &effect);
     void carryOut(const serving::HandTask &effect);
@@ -74,20 +74,20 @@
 
 private:
     void handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
-    void takeTask(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
-    [[nodiscard]] absl::StatusOr<std::string> takeHeartbeat(const std::string &text);
-    void handedEnded(serving::StageTaskId task, const InstanceName &peer, const HttpAnswer &answer);
-    void logUnreadable(const absl::Status &status);
+    void receiveTask(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
+    [[nodiscard]] absl::StatusOr<std::string> receiveHeartbeat(const std::string &text);
+    void handleTaskAnswer(serving::StageTaskId task, const InstanceName &peer, const HttpAnswer &answer);
+    void logMalformedMessage(const absl::Status &status);
 
     Loop &m_loop;
     PeerPortHooks m_hooks;
-    PublishedAnswers m_published;
+    StoreHandlers m_storeHandlers;
     HttpServer m_server;
-    HttpClient m_client;
-    HttpClient m_heartbeats;
-    std::map<serving::StageTaskId, HttpCallId> m_handed;
-    std::map<serving::PeerTaskNumber, std::shared_ptr<HttpResponder>> m_asked;
-    std::uint64_t m_lastAsked{};
+    HttpClient m_taskClient;
+    HttpClient m_heartbeatClient;
+    std::map<serving::StageTaskId, HttpCallId> m_delegatedTasks;
+    std::map<serving::PeerTaskNumber, std::shared_ptr<HttpResponder>> m_peerTasks;
+    std::uint64_t m_lastPeerTask{};
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/app/peerset.cpp
+++ b/src/bergamottide/app/peerset.cpp
@@ -7,35 +7,35 @@
 
 namespace {
 
-/*! @brief Time for which a stream is kept after it was last asked for: three renewals of a subscription. */
-constexpr Duration requirementTime = std::chrono::seconds{30};
+/*! @brief Time for which a stream is kept after its last request; subscriptions are renewed more often. */
+constexpr Duration requestLifetime = std::chrono::seconds{30};
 /*!
- * @brief Time without a stream after which the end that should wait opens it itself.
+ * @brief Time without a stream after which the passive end opens it itself.
  *
- * Above the longest backoff of the transport, so that the other end has tried again by then:
- * streams opened from both ends replace each other without end.
+ * Must exceed the longest backoff of the transport: streams opened from both ends would keep replacing each other.
  */
-constexpr Duration patience = std::chrono::seconds{5};
+constexpr Duration initiatorGracePeriod = std::chrono::seconds{5};
 
 } // namespace
 
-PeerSet::PeerSet(PeerTransport &transport, InstanceName self, Role role, Wanted wanted, Duration keepTime)
+PeerSet::PeerSet(PeerTransport &transport, InstanceName self, Role role, PeerFilter isNeeded,
+                 Duration removedPeerRetention)
     : m_transport{transport}
     , m_self{std::move(self)}
     , m_role{role}
-    , m_wanted{std::move(wanted)}
-    , m_keepTime{keepTime}
+    , m_isNeeded{std::move(isNeeded)}
+    , m_removedPeerRetention{removedPeerRetention}
 {
 }
 
 void PeerSet::update(const InstanceView &view, TimePoint now)
 {
-    m_listed = view.instances;
+    m_instances = view.instances;
     for (const auto &[name, instance] : view.instances) {
-        if (!isWanted(instance)) {
+        if (!shouldKeep(instance)) {
             continue;
         }
-        m_vanished.erase(name);
+        m_removedAt.erase(name);
         std::string &address = m_addresses[name];
         if (address == instance.address) {
             continue;
@@ -45,89 +45,89 @@
     }
     for (const auto &[name, address] : m_addresses) {
         const auto listed = view.instances.find(name);
-        if (listed == view.instances.end() || !isWanted(listed->second)) {
-            m_vanished.try_emplace(name, now);
+        if (listed == view.instances.end() || !shouldKeep(listed->second)) {
+            m_removedAt.try_emplace(name, now);
         }
     }
-    expire(now);
+    closeExpired(now);
 }
 
-void PeerSet::require(const InstanceName &peer, TimePoint now)
+void PeerSet::requestStream(const InstanceName &peer, TimePoint now)
 {
-    const auto listed = m_listed.find(peer);
-    if (listed == m_listed.end() || peer == m_self) {
+    const auto listed = m_instances.find(peer);
+    if (listed == m_instances.end() || peer == m_self) {
         return;
     }
     if (m_role == Role::Side && listed->second.role == Role::Entry) {
-        // An entry keeps a stream to every side of its region.
+        // An entry keeps a stream to every sidecar of its region.
         return;
     }
-    Requirement &requirement = m_required.try_emplace(peer, Requirement{now, now}).first->second;
-    requirement.last = now;
+    StreamRequest &streamRequest = m_streamRequests.try_emplace(peer, StreamRequest{now, now}).first->second;
+    streamRequest.lastRequestedAt = now;
     if (m_open.contains(peer) || m_addresses.contains(peer)) {
         return;
     }
-    if (!opensFirst(listed->second) && now - requirement.since < patience) {
+    if (!isInitiator(listed->second) && now - streamRequest.unconnectedSince < initiatorGracePeriod) {
         return;
     }
     m_addresses[peer] = listed->second.address;
     m_transport.connect(peer, listed->second.address);
 }
 
-void PeerSet::expire(TimePoint now)
+void PeerSet::closeExpired(TimePoint now)
 {
-    const auto old = [now](const auto &one) {
-        return now - one.second.last > requirementTime;
+    const auto isExpired = [now](const auto &entry) {
+        return now - entry.second.lastRequestedAt > requestLifetime;
     };
-    std::erase_if(m_required, old);
+    std::erase_if(m_streamRequests, isExpired);
     for (const auto &[name, address] : m_addresses) {
-        const auto listed = m_listed.find(name);
-        if (listed != m_listed.end() && !isWanted(listed->second)) {
-            m_vanished.try_emplace(name, now);
+        const auto listed = m_instances.find(name);
+        if (listed != m_instances.end() && !shouldKeep(listed->second)) {
+            m_removedAt.try_emplace(name, now);
         }
     }
-    std::vector<InstanceName> gone;
-    for (const auto &[name, since] : m_vanished) {
-        if (now - since > m_keepTime || !m_open.contains(name)) {
-            gone.push_back(name);
+    std::vector<InstanceName> expired;
+    for (const auto &[name, removedAt] : m_removedAt) {
+        if (now - removedAt > m_removedPeerRetention || !m_open.contains(name)) {
+            expired.push_back(name);
         }
     }
-    for (const InstanceName &name : gone) {
-        forget(name);
+    for (const InstanceName &name : expired) {
+        removePeer(name);
     }
 }
 
-void PeerSet::opened(const InstanceName &peer)
+void PeerSet::handleOpened(const InstanceName &peer)
 {
     m_open.insert(peer);
 }
 
-void PeerSet::closed(const InstanceName &peer, TimePoint now)
+void PeerSet::handleClosed(const InstanceName &peer, TimePoint now)
 {
     m_open.erase(peer);
-    const auto required = m_required.find(peer);
-    if (required != m_required.end()) {
-        required->second.since = now;
+    const auto request = m_streamRequests.find(peer);
+    if (request != m_streamRequests.end()) {
+        request->second.unconnectedSince = now;
     }
 }
 
-std::size_t PeerSet::open() const noexcept
+std::size_t PeerSet::openCount() const noexcept
 {
     return m_open.size();
 }
 
-std::size_t PeerSet::wanted() const noexcept
+std::size_t PeerSet::wantedCount() const noexcept
 {
-    return m_addresses.size() - m_vanished.size();
+    return m_addresses.size() - m_removedAt.size();
 }
 
-bool PeerSet::isWanted(const Instance &instance) const
+bool PeerSet::shouldKeep(const Instance &instance) const
 {
-    const bool required = m_required.contains(instance.name) && m_addresses.contains(instance.name);
-    return required || (instance.name != m_self && m_wanted(instance));
+    const bool isRequested = m_streamRequests.contains(instance.name) && m_addresses.contains(instance.name);
+    return isRequested || (instance.name != m_self && m_isNeeded(instance));
 }
 
-bool PeerSet::opensFirst(const Instance &instance) const
+bool PeerSet::isInitiator(const Instance &instance) const
 {
     if (instance.role == m_role) {
         return m_self < instance.name;
@@ -135,9 +135,9 @@
     return m_role == Role::Entry;
 }
 
-void PeerSet::forget(const InstanceName &peer)
+void PeerSet::removePeer(const InstanceName &peer)
 {
-    m_vanished.erase(peer);
+    m_removedAt.erase(peer);
     m_addresses.erase(peer);
     m_open.erase(peer);
     m_transport.disconnect(peer);
--- a/src/bergamottide/app/peerset.h
+++ b/src/bergamottide/app/peerset.h
@@ -11,92 +11,94 @@
 namespace bergamottide {
 
 /**
- * @brief Streams that a process keeps open, chosen from the instance view.
+ * @brief Keeps streams open to a selection of the instances in the view.
  *
- * An instance that has vanished from the lagging list may still finish runs, so its stream
- * is kept until it closes by itself or for the longest deadline.
+ * An instance that has left the list may still finish runs, so its stream is kept until it closes or the retention
+ * time is over.
  */
 class PeerSet
 {
 public:
-    /*! @brief Tells if a stream to an instance is wanted. */
-    using Wanted = std::function<bool(const Instance &instance)>;
+    /*! @brief Returns whether a stream to an instance is kept permanently. */
+    using PeerFilter = std::function<bool(const Instance &instance)>;
 
     /**
      * @brief Creates an empty set.
      * @param transport Transport of the streams; outlives the set.
      * @param self Name of this process.
      * @param role Role of this process.
-     * @param wanted Chooses the peers.
-     * @param keepTime Time for which the stream to a vanished instance is kept.
+     * @param isNeeded Selects the peers.
+     * @param removedPeerRetention Longest time for which the stream to a removed instance is kept.
      */
-    PeerSet(PeerTransport &transport, InstanceName self, Role role, Wanted wanted, Duration keepTime);
+    PeerSet(PeerTransport &transport, InstanceName self, Role role, PeerFilter isNeeded, Duration removedPeerRetention);
 
     /**
-     * @brief Takes a new view.
+     * @brief Connects new peers of a view and marks removed ones.
      * @param view Instance view.
-     * @param now Present time.
+     * @param now Current time.
      */
     void update(const InstanceView &view, TimePoint now);
 
     /**
-     * @brief Asks for a stream to a process that is not among those wanted, such as a parent in the tree.
+     * @brief Requests a temporary stream to a peer that the filter does not select, such as the parent in the
+     * configuration's distribution tree.
      *
-     * Both ends may ask at once, and two streams would replace each other in turn. So one end
-     * opens it at once (always the entry towards a side, otherwise the smaller name), and the
-     * other of two equals only if none has come after a while. It is kept while it is asked for.
+     * If both ends opened a stream, the two would keep replacing each other. So the initiator (an entry towards a
+     * sidecar, otherwise the smaller name) opens it at once, and the other end only after a grace period. The stream is
+     * kept while requests are repeated.
      *
      * @param peer Name of the process.
-     * @param now Present time.
+     * @param now Current time.
      */
-    void require(const InstanceName &peer, TimePoint now);
+    void requestStream(const InstanceName &peer, TimePoint now);
 
     /**
-     * @brief Closes the streams to instances that vanished long ago.
-     * @param now Present time.
+     * @brief Closes the streams to peers that were removed or are no longer requested.
+     * @param now Current time.
      */
-    void expire(TimePoint now);
+    void closeExpired(TimePoint now);
 
     /**
-     * @brief Notes that a stream has opened.
+     * @brief Records that a stream has opened.
      * @param peer Peer at its other end.
      */
-    void opened(const InstanceName &peer);
+    void handleOpened(const InstanceName &peer);
 
     /**
-     * @brief Notes that a stream has closed.
+     * @brief Records that a stream has closed.
      * @param peer Peer at its other end.
-     * @param now Present time.
+     * @param now Current time.
      */
-    void closed(const InstanceName &peer, TimePoint now);
+    void handleClosed(const InstanceName &peer, TimePoint now);
 
-    /*! @brief Returns the number of streams that are open. */
-    [[nodiscard]] std::size_t open() const noexcept;
+    /*! @brief Returns the number of open streams. */
+    [[nodiscard]] std::size_t openCount() const noexcept;
 
-    /*! @brief Returns the number of streams that are wanted. */
-    [[nodiscard]] std::size_t wanted() const noexcept;
+    /*! @brief Returns the number of peers to which a stream should be open. */
+    [[nodiscard]] std::size_t wantedCount() const noexcept;
 
 private:
-    /*! @brief Since when and until when a stream is asked for. */
-    struct Requirement
+    /*! @brief Request of a temporary stream. */
+    struct StreamRequest
     {
-        TimePoint since;
-        TimePoint last;
+        /*! @brief Time of the first request, or at which the stream closed. */
+        TimePoint unconnectedSince;
+        TimePoint lastRequestedAt;
     };
 
-    [[nodiscard]] bool isWanted(const Instance &instance) const;
-    [[nodiscard]] bool opensFirst(const Instance &instance) const;
-    void forget(const InstanceName &peer);
+    [[nodiscard]] bool shouldKeep(const Instance &instance) const;
+    [[nodiscard]] bool isInitiator(const Instance &instance) const;
+    void removePeer(const InstanceName &peer);
 
     PeerTransport &m_transport;
     InstanceName m_self;
     Role m_role;
-    Wanted m_wanted;
-    Duration m_keepTime;
-    std::map<InstanceName, Instance> m_listed;
-    std::map<InstanceName, Requirement> m_required;
+    PeerFilter m_isNeeded;
+    Duration m_removedPeerRetention;
+    std::map<InstanceName, Instance> m_instances;
+    std::map<InstanceName, StreamRequest> m_streamRequests;
     std::map<InstanceName, std::string> m_addresses;
-    std::map<InstanceName, TimePoint> m_vanished;
+    std::map<InstanceName, TimePoint> m_removedAt;
     std::set<InstanceName> m_open;
 };
 
--- a/src/bergamottide/app/peerwire.cpp
+++ b/src/bergamottide/app/peerwire.cpp
@@ -16,7 +16,7 @@
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-json infoOf(const PeerInfo &peer)
+json toJson(const PeerInfo &peer)
 {
     return {{"instance", peer.instance.text()},
             {"address", peer.address},
@@ -24,47 +24,47 @@
             {"zone", peer.zone.text()}};
 }
 
-PeerInfo peerOf(const json &value)
+PeerInfo peerFromJson(const json &value)
 {
     return {InstanceName{value.at("instance").get<std::string>()}, value.at("address").get<std::string>(),
             value.at("strength").get<double>(), ZoneName{value.at("zone").get<std::string>()}};
 }
 
-json rosterOf(const std::vector<RosterEntry> &roster)
+json toJson(const std::vector<RosterEntry> &roster)
 {
     json out = json::array();
     for (const RosterEntry &entry : roster) {
-        json one = infoOf(entry.peer);
-        one["ownsQueues"] = entry.ownsQueues;
-        out.push_back(std::move(one));
+        json item = toJson(entry.peer);
+        item["ownsQueues"] = entry.ownsQueues;
+        out.push_back(std::move(item));
     }
     return out;
 }
 
-std::vector<RosterEntry> readRoster(const json &value)
+std::vector<RosterEntry> rosterFromJson(const json &value)
 {
     std::vector<RosterEntry> out;
-    for (const json &one : value) {
-        out.push_back({peerOf(one), one.at("ownsQueues").get<bool>()});
+    for (const json &item : value) {
+        out.push_back({peerFromJson(item), item.at("ownsQueues").get<bool>()});
     }
     return out;
 }
 
-json enginesOf(const std::vector<engines::EngineReport> &reports)
+json toJson(const std::vector<engines::EngineReport> &reports)
 {
     json out = json::array();
     for (const engines::EngineReport &report : reports) {
         json work = json::array();
-        for (const engines::EngineWork &one : report.work) {
-            work.push_back({one.engine.text(), one.tokens});
+        for (const engines::EngineWork &item : report.work) {
+            work.push_back({item.engine.text(), item.tokens});
         }
         json placed = json::array();
-        for (const engines::PlacedPrompt &one : report.placed) {
+        for (const engines::PlacedPrompt &item : report.placed) {
             json chain = json::array();
-            for (const engines::ChainLink &link : one.chain) {
+            for (const engines::ChainLink &link : item.chain) {
                 chain.push_back({link.digest, link.tokens});
             }
-            placed.push_back({one.engine.text(), one.readIn.count(), std::move(chain)});
+            placed.push_back({item.engine.text(), item.readIn.count(), std::move(chain)});
         }
         out.push_back({{"origin", report.origin.text()},
                        {"incarnation", report.incarnation},
@@ -75,20 +75,20 @@
     return out;
 }
 
-engines::EngineReport reportOf(const json &value)
+engines::EngineReport engineReportFromJson(const json &value)
 {
     engines::EngineReport report;
     report.origin = InstanceName{value.at("origin").get<std::string>()};
     report.incarnation = value.at("incarnation").get<std::uint64_t>();
     report.sequence = value.at("sequence").get<std::uint64_t>();
-    for (const json &one : value.at("work")) {
-        report.work.push_back({InstanceName{one.at(0).get<std::string>()}, one.at(1).get<std::uint64_t>()});
+    for (const json &item : value.at("work")) {
+        report.work.push_back({InstanceName{item.at(0).get<std::string>()}, item.at(1).get<std::uint64_t>()});
     }
-    for (const json &one : value.at("placed")) {
+    for (const json &item : value.at("placed")) {
         engines::PlacedPrompt placed;
-        placed.engine = InstanceName{one.at(0).get<std::string>()};
-        placed.readIn = Duration{one.at(1).get<std::int64_t>()};
-        for (const json &link : one.at(2)) {
+        placed.engine = InstanceName{item.at(0).get<std::string>()};
+        placed.readIn = Duration{item.at(1).get<std::int64_t>()};
+        for (const json &link : item.at(2)) {
             placed.chain.push_back({link.at(0).get<std::uint64_t>(), link.at(1).get<std::uint64_t>()});
         }
         report.placed.push_back(std::move(placed));
@@ -96,9 +96,9 @@
     return report;
 }
 
-/*! @brief Reads a message; whatever is wrong with it becomes a typed error. */
+/*! @brief Parses and decodes a message; every JSON error becomes a `MalformedBody` status. */
 template <typename Decode>
-auto read(const std::string &text, Decode decode) -> absl::StatusOr<decltype(decode(json{}))>
+auto parse(const std::string &text, Decode decode) -> absl::StatusOr<decltype(decode(json{}))>
 {
     try {
         return decode(json::parse(text));
@@ -111,7 +111,7 @@
 
 std::string write(const Heartbeat &heartbeat)
 {
-    json out = infoOf(heartbeat.from);
+    json out = toJson(heartbeat.from);
     out["incarnation"] = heartbeat.incarnation;
     out["draining"] = heartbeat.draining;
     out["ownsQueues"] = heartbeat.ownsQueues;
@@ -120,7 +120,7 @@
     out["rosterDigest"] = heartbeat.rosterDigest;
     out["knownDigest"] = heartbeat.knownDigest;
     if (heartbeat.roster) {
-        out["roster"] = rosterOf(*heartbeat.roster);
+        out["roster"] = toJson(*heartbeat.roster);
     }
     out["waits"] = json::array();
     for (const PoolWait &wait : heartbeat.waits) {
@@ -135,15 +135,15 @@
     for (const PoolWork &work : heartbeat.upcoming) {
         out["upcoming"].push_back({{"pool", work.pool.text()}, {"rank", work.rank}, {"pieces", work.pieces}});
     }
-    out["engines"] = enginesOf(heartbeat.engines);
+    out["engines"] = toJson(heartbeat.engines);
     return dump(out);
 }
 
-absl::StatusOr<Heartbeat> readHeartbeat(const std::string &text)
+absl::StatusOr<Heartbeat> decodeHeartbeat(const std::string &text)
 {
-    return read(text, [](const json &value) {
+    return parse(text, [](const json &value) {
         Heartbeat heartbeat;
-        heartbeat.from = peerOf(value);
+        heartbeat.from = peerFromJson(value);
         heartbeat.incarnation = value.at("incarnation").get<std::uint64_t>();
         heartbeat.draining = value.at("draining").get<bool>();
         heartbeat.ownsQueues = value.at("ownsQueues").get<bool>();
@@ -152,7 +152,7 @@
         heartbeat.rosterDigest = value.at("rosterDigest").get<std::uint64_t>();
         heartbeat.knownDigest = value.at("knownDigest").get<std::uint64_t>();
         if (const auto roster = value.find("roster"); roster != value.end()) {
-            heartbeat.roster = readRoster(*roster);
+            heartbeat.roster = rosterFromJson(*roster);
         }
         for (const json &wait : value.at("waits")) {
             heartbeat.waits.push_back({PoolName{wait.at("pool").get<std::string>()}, wait.at("rank").get<int>(),
@@ -165,7 +165,7 @@
                                           work.at("pieces").get<std::uint64_t>()});
         }
         for (const json &report : value.value("engines", json::array())) {
-            heartbeat.engines.push_back(reportOf(report));
+            heartbeat.engines.push_back(engineReportFromJson(report));
         }
         return heartbeat;
     });
@@ -181,8 +181,8 @@
                           {"bytes", input.bytes}});
     }
     json held = json::array();
-    for (const HeldResults &one : task.held) {
-        held.push_back({{"endpoint", one.endpoint.text()}, {"bytes", one.bytes}});
+    for (const HeldResults &item : task.held) {
+        held.push_back({{"endpoint", item.endpoint.text()}, {"bytes", item.bytes}});
     }
     return dump({{"from", task.from.text()},
                  {"pool", task.pool.text()},
@@ -199,9 +199,9 @@
                  {"held", std::move(held)}});
 }
 
-absl::StatusOr<StageTask> readTask(const std::string &text, TimePoint now)
+absl::StatusOr<StageTask> decodeTask(const std::string &text, TimePoint now)
 {
-    return read(text, [now](const json &value) {
+    return parse(text, [now](const json &value) {
         StageTask task;
         task.from = InstanceName{value.at("from").get<std::string>()};
         task.pool = PoolName{value.at("pool").get<std::string>()};
@@ -219,9 +219,9 @@
         }
         task.resultBytes = value.at("bytes").get<std::uint64_t>();
         task.zone = ZoneName{value.at("zone").get<std::string>()};
-        for (const json &one : value.at("held")) {
+        for (const json &item : value.at("held")) {
             task.held.push_back(
-                {InstanceName{one.at("endpoint").get<std::string>()}, one.at("bytes").get<std::uint64_t>()});
+                {InstanceName{item.at("endpoint").get<std::string>()}, item.at("bytes").get<std::uint64_t>()});
         }
         return task;
     });
@@ -240,29 +240,29 @@
     return dump(list);
 }
 
-absl::StatusOr<std::vector<StageOutcome>> readOutcomes(const std::string &text, StageTaskId task)
+absl::StatusOr<std::vector<StageOutcome>> decodeOutcomes(const std::string &text, StageTaskId task)
 {
-    return read(text, [task](const json &value) {
+    return parse(text, [task](const json &value) {
         std::vector<StageOutcome> outcomes;
-        for (const json &one : value) {
-            const auto failure = enumFromName<PieceFailure>(one.at("failure").get<std::string>());
-            outcomes.push_back({task, one.at("piece").get<std::uint32_t>(),
-                                PieceResult{one.at("handle").get<std::string>(), failure.value_or(PieceFailure::Error)},
-                                InstanceName{one.at("endpoint").get<std::string>()},
-                                one.at("address").get<std::string>()});
+        for (const json &item : value) {
+            const auto failure = enumFromName<PieceFailure>(item.at("failure").get<std::string>());
+            outcomes.push_back(
+                {task, item.at("piece").get<std::uint32_t>(),
+                 PieceResult{item.at("handle").get<std::string>(), failure.value_or(PieceFailure::Error)},
+                 InstanceName{item.at("endpoint").get<std::string>()}, item.at("address").get<std::string>()});
         }
         return outcomes;
     });
 }
 
-std::string writeHandles(const std::vector<std::string> &handles)
+std::string encodeHandles(const std::vector<std::string> &handles)
 {
     return dump(handles);
 }
 
-absl::StatusOr<std::vector<std::string>> readHandles(const std::string &text)
+absl::StatusOr<std::vector<std::string>> decodeHandles(const std::string &text)
 {
-    return read(text, [](const json &value) { return value.get<std::vector<std::string>>(); });
+    return parse(text, [](const json &value) { return value.get<std::vector<std::string>>(); });
 }
 
 } // namespace bergamottide::peerwire
--- a/src/bergamottide/app/peerwire.h
+++ b/src/bergamottide/app/peerwire.h
@@ -10,31 +10,31 @@
 
 /**
  * @file
- * @brief Messages between processes that serve callers, as JSON.
+ * @brief JSON format of the messages between serving processes.
  *
- * Points in time are sent as the time left, since clocks of two processes have nothing in common. Durations are in
+ * Points in time are sent relative to now, since the clocks of two processes are not comparable. Durations are in
  * microseconds.
  */
 namespace bergamottide::peerwire {
 
 [[nodiscard]] std::string write(const serving::Heartbeat &heartbeat);
-[[nodiscard]] absl::StatusOr<serving::Heartbeat> readHeartbeat(const std::string &text);
+[[nodiscard]] absl::StatusOr<serving::Heartbeat> decodeHeartbeat(const std::string &text);
 
 [[nodiscard]] std::string write(const serving::StageTask &task, TimePoint now);
 
-[[nodiscard]] absl::StatusOr<serving::StageTask> readTask(const std::string &text, TimePoint now);
+[[nodiscard]] absl::StatusOr<serving::StageTask> decodeTask(const std::string &text, TimePoint now);
 
 [[nodiscard]] std::string write(const std::vector<serving::StageOutcome> &outcomes);
 
 /**
- * @brief Reads the outcomes of a task.
- * @param text Text to read.
- * @param task Identity of the task here.
+ * @brief Reads the outcomes of a delegated task.
+ * @param text JSON text.
+ * @param task Local identity of the task, which the message does not contain.
  */
-[[nodiscard]] absl::StatusOr<std::vector<serving::StageOutcome>> readOutcomes(const std::string &text,
-                                                                              serving::StageTaskId task);
+[[nodiscard]] absl::StatusOr<std::vector<serving::StageOutcome>> decodeOutcomes(const std::string &text,
+                                                                                serving::StageTaskId task);
 
-[[nodiscard]] std::string writeHandles(const std::vector<std::string> &handles);
-[[nodiscard]] absl::StatusOr<std::vector<std::string>> readHandles(const std::string &text);
+[[nodiscard]] std::string encodeHandles(const std::vector<std::string> &handles);
+[[nodiscard]] absl::StatusOr<std::vector<std::string>> decodeHandles(const std::string &text);
 
 } // namespace bergamottide::peerwire
--- a/src/bergamottide/app/platformfeed.cpp
+++ b/src/bergamottide/app/platformfeed.cpp
@@ -32,30 +32,30 @@
     , m_config{loop, options.configService, configHooks()}
     , m_instances{loop, options.instanceList, options.identity.seed, instanceHooks()}
     , m_distribution{options.identity, DistributionPolicy{}, loop.now()}
-    , m_reactor{loop, m_distribution, [this](ConfigEffect effect) {
-                    carryOut(std::move(effect));
-                }}
+    , m_runner{loop, m_distribution, [this](ConfigEffect effect) {
+                   carryOut(std::move(effect));
+               }}
 {
 }
 
 void PlatformFeed::start()
 {
     m_instances.start();
-    m_reactor.submit(Tick{});
+    m_runner.submit(Tick{});
 }
 
-void PlatformFeed::received(const InstanceName &from, const Message &message)
+void PlatformFeed::handleMessage(const InstanceName &from, const Message &message)
 {
-    const bool concerned = std::holds_alternative<Hello>(message) || std::holds_alternative<ConfigSubscribe>(message)
-        || std::holds_alternative<ConfigDelta>(message);
-    if (concerned) {
-        m_reactor.submit(PeerMessage{from, message});
+    const bool isConfigMessage = std::holds_alternative<Hello>(message)
+        || std::holds_alternative<ConfigSubscribe>(message) || std::holds_alternative<ConfigDelta>(message);
+    if (isConfigMessage) {
+        m_runner.submit(PeerMessage{from, message});
     }
 }
 
-void PlatformFeed::closed(const InstanceName &peer)
+void PlatformFeed::handleStreamClosed(const InstanceName &peer)
 {
-    m_reactor.submit(PeerDown{peer});
+    m_runner.submit(PeerDown{peer});
 }
 
 std::uint64_t PlatformFeed::version() const
@@ -85,7 +85,7 @@
 
 void PlatformFeed::carryOut(ConfigEffect effect)
 {
-    std::visit([this](const auto &one) { carryOut(one); }, effect);
+    std::visit([this](const auto &value) { carryOut(value); }, effect);
 }
 
 void PlatformFeed::carryOut(const SendMessage &effect)
@@ -122,14 +122,14 @@
 {
     ConfigClientHooks hooks;
     hooks.document = [this](std::string text) {
-        m_reactor.submit(ServiceDocument{std::move(text)});
+        m_runner.submit(ServiceDocument{std::move(text)});
     };
     hooks.unchanged = [this] {
-        m_reactor.submit(ServiceUnchanged{});
+        m_runner.submit(ServiceUnchanged{});
     };
     hooks.failed = [this](const absl::Status &error) {
-        readFailed("config", error);
-        m_reactor.submit(ServiceFailed{});
+        logReadFailure("config", error);
+        m_runner.submit(ServiceFailed{});
     };
     return hooks;
 }
@@ -138,15 +138,15 @@
 {
     InstanceClientHooks hooks;
     hooks.view = [this](const std::shared_ptr<const InstanceView> &view) {
-        takeView(view);
+        applyView(view);
     };
     hooks.failed = [this](const absl::Status &error) {
-        readFailed("instances", error);
+        logReadFailure("instances", error);
     };
     return hooks;
 }
 
-void PlatformFeed::takeView(const std::shared_ptr<const InstanceView> &view)
+void PlatformFeed::applyView(const std::shared_ptr<const InstanceView> &view)
 {
     m_revision = view->revision;
     const auto leaving = std::count_if(view->instances.begin(), view->instances.end(),
@@ -154,14 +154,14 @@
     m_hooks.audit(AuditRecord{AuditKind::ViewChange, absl::StrCat("revision ", view->revision), "instance list",
                               absl::StrCat(view->instances.size(), " instances, ", leaving, " leaving")});
     m_hooks.view(view);
-    m_reactor.submit(ViewChanged{view});
+    m_runner.submit(ViewChanged{view});
 }
 
-void PlatformFeed::readFailed(const char *source, const absl::Status &error)
+void PlatformFeed::logReadFailure(const char *source, const absl::Status &error)
 {
     m_hooks.log(LogLine{Severity::Warning,
                         Part::Config,
-                        "A read of the platform failed.",
+                        "Reading from the platform failed.",
                         {{"source", source},
                          {"reason", std::string{enumName(errorReason(error))}},
                          {"detail", std::string{error.message()}}}});
--- a/src/bergamottide/app/platformfeed.h
+++ b/src/bergamottide/app/platformfeed.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bergamottide/app/reactor.h"
+#include "bergamottide/app/reducerrunner.h"
 #include "bergamottide/config/document.h"
 #include "bergamottide/membership/configdistribution.h"
 #include "bergamottide/membership/instanceview.h"
@@ -19,7 +19,7 @@
 
 namespace bergamottide {
 
-/*! @brief Where the platform is read, and who reads. */
+/*! @brief Addresses of the platform's services and identity of this process. */
 struct PlatformFeedOptions
 {
     /*! @brief Configuration service, `ip:port`. */
@@ -29,13 +29,13 @@
     ConfigIdentity identity;
 };
 
-/*! @brief Hooks of the feed; called on the loop's thread. */
+/*! @brief Callbacks of the feed, called on the loop's thread. */
 struct PlatformFeedHooks
 {
-    /*! @brief A document is in force from now on. */
+    /*! @brief A new configuration document has become active. */
     std::function<void(ConfigChanged change)> document;
     std::function<void(std::shared_ptr<const InstanceView> view)> view;
-    /*! @brief A message of the configuration's tree goes to another process. */
+    /*! @brief Sends a message of the configuration's distribution tree to a peer. */
     std::function<void(SendMessage message)> send;
     std::function<void(AuditRecord record)> audit;
     std::function<void(LogLine line)> log;
@@ -43,17 +43,17 @@
 };
 
 /**
- * @brief What a process knows from the platform: the document in force and the instance view.
+ * @brief Provides the active configuration document and the instance view from the platform.
  *
- * Runs the distribution of the configuration, which decides when the service is read, which
- * process is listened to, and which document is in force.
+ * Runs `ConfigDistribution`, which decides when to read the configuration service, from which peer to take updates
+ * and which document is active.
  */
 class PlatformFeed
 {
 public:
     /**
      * @brief Creates a feed that does not read yet.
-     * @param loop Loop it runs on; outlives the feed.
+     * @param loop Event loop; outlives the feed.
      * @param options Addresses and identity.
      * @param hooks Called for each change.
      */
@@ -63,25 +63,25 @@
     void start();
 
     /**
-     * @brief Takes a message; those that do not concern the configuration are ignored.
-     * @param from Process that sent it.
+     * @brief Handles a message from a peer; ignores those that do not concern the configuration.
+     * @param from Sender.
      * @param message Message.
      */
-    void received(const InstanceName &from, const Message &message);
+    void handleMessage(const InstanceName &from, const Message &message);
 
     /**
-     * @brief Notes that a stream to another process has closed.
-     * @param peer Process at its other end.
+     * @brief Handles the loss of a stream.
+     * @param peer Peer at its other end.
      */
-    void closed(const InstanceName &peer);
+    void handleStreamClosed(const InstanceName &peer);
 
-    /*! @brief Returns the version in force; zero before the first. */
+    /*! @brief Returns the version of the active document; zero if there is none yet. */
     [[nodiscard]] std::uint64_t version() const;
 
-    /*! @brief Returns the revision of the instance view; zero before the first. */
+    /*! @brief Returns the revision of the instance view; zero if there is none yet. */
     [[nodiscard]] std::uint64_t revision() const noexcept;
 
-    /*! @brief Writes what is known from the platform, and the counts of its reads, as a JSON object. */
+    /*! @brief Returns the state of configuration and instance view, and read counters, as a JSON object. */
     [[nodiscard]] nlohmann::json status() const;
 
 private:
@@ -94,15 +94,15 @@
     void carryOut(const Observe &observation);
     [[nodiscard]] ConfigClientHooks configHooks();
     [[nodiscard]] InstanceClientHooks instanceHooks();
-    void takeView(const std::shared_ptr<const InstanceView> &view);
-    void readFailed(const char *source, const absl::Status &error);
+    void applyView(const std::shared_ptr<const InstanceView> &view);
+    void logReadFailure(const char *source, const absl::Status &error);
 
     Loop &m_loop;
     PlatformFeedHooks m_hooks;
     ConfigClient m_config;
     InstanceClient m_instances;
     ConfigDistribution m_distribution;
-    Reactor<ConfigDistribution, ConfigEvent, ConfigEffect, Tick> m_reactor;
+    ReducerRunner<ConfigDistribution, ConfigEvent, ConfigEffect, Tick> m_runner;
     std::uint64_t m_revision{};
 };
 
--- a/src/bergamottide/app/servingapp.cpp
+++ b/src/bergamottide/app/servingapp.cpp
@@ -15,32 +15,29 @@
 
 using namespace serving;
 
-/*! @brief Largest body of a caller that is read before a configuration tells the limit. */
+/*! @brief Limit of the body size until a configuration sets one. */
 constexpr std::size_t maxBodyBytes = 16U << 20U;
-/*! @brief Colon, space and line end of a header line. */
-constexpr std::size_t headerLineExtra = 4;
+/*! @brief Bytes of the colon, space and line end of a header line. */
+constexpr std::size_t headerLineOverhead = 4;
 constexpr int statusHeadTooLarge = 431;
-/*! @brief Time for which a caller's connection may be idle: above the limit that callers are told. */
+/*! @brief Longest idle time of a caller's connection; longer than the limit documented for callers. */
 constexpr Duration callersIdleTimeout = std::chrono::seconds{60};
-/*! @brief A caller that left is noticed this late at most, so that its endpoint stops within half a second. */
+/*! @brief Longest delay until a disconnected caller is detected; bounds the work wasted at an endpoint. */
 constexpr Duration closePollPeriod = std::chrono::milliseconds{150};
-/*! @brief Time for which bytes may stay unacknowledged before a connection is given up: a partition, not a lost packet.
- */
-constexpr Duration unacknowledged = std::chrono::milliseconds{3000};
-/*! @brief Longest wait for a connection to an endpoint: some round trips; a lost packet is sent again later than that.
- */
+/*! @brief Time for which sent bytes may stay unacknowledged; long enough to retransmit a lost packet. */
+constexpr Duration maxUnacknowledgedTime = std::chrono::milliseconds{3000};
+/*! @brief Shorter than the first retransmission of a lost SYN, so that another endpoint is tried instead. */
 constexpr Duration connectTimeout = std::chrono::milliseconds{400};
-/*! @brief Silence of an endpoint after which a call to it is broken; the limits of requests are shorter as a rule. */
-constexpr Duration endpointSilence = std::chrono::seconds{20};
-/*! @brief Bytes that may wait for a caller that reads slowly. */
+/*! @brief Time without data after which a call to an endpoint has failed; deadlines are normally shorter. */
+constexpr Duration endpointIoTimeout = std::chrono::seconds{20};
+/*! @brief Unsent bytes buffered for a slow caller; above this its connection is aborted. */
 constexpr std::size_t maxUnsentBytes = 1U << 20U;
-/*! @brief Time after the request to stop in which the balancer may still send connections here: two misses, one a
- * second. */
-constexpr Duration rotationTime = std::chrono::milliseconds{3500};
-/*! @brief Time before the kill by which the process ends by itself. */
-constexpr Duration endMargin = std::chrono::milliseconds{500};
-/*! @brief Time after the last answer before the process ends: its bytes are with the kernel by then. */
-constexpr Duration flushTime = std::chrono::milliseconds{300};
+/*! @brief Time after the start of a drain in which the load balancer may still open connections. */
+constexpr Duration balancerRemovalTime = std::chrono::milliseconds{3500};
+/*! @brief Time before the end of the grace period at which the process exits even if requests are unfinished. */
+constexpr Duration exitMargin = std::chrono::milliseconds{500};
+/*! @brief Time between the last answer and the exit, so that the kernel can send what is buffered. */
+constexpr Duration flushDelay = std::chrono::milliseconds{300};
 
 HttpServerOptions callersOptions(const ServingSettings &settings)
 {
@@ -49,7 +46,7 @@
     options.maxBodyBytes = maxBodyBytes;
     options.idleTimeout = callersIdleTimeout;
     options.closePollPeriod = closePollPeriod;
-    options.unacknowledged = unacknowledged;
+    options.unacknowledged = maxUnacknowledgedTime;
     return options;
 }
 
@@ -64,9 +61,9 @@
 HttpClientOptions endpointOptions()
 {
     HttpClientOptions options;
-    options.ioTimeout = endpointSilence;
+    options.ioTimeout = endpointIoTimeout;
     options.connectTimeout = connectTimeout;
-    options.unacknowledged = unacknowledged;
+    options.unacknowledged = maxUnacknowledgedTime;
     return options;
 }
 
@@ -100,11 +97,11 @@
     , m_log{LogOptions{LogFormat::Json, settings.logLevel, settings.instance}, clock,
             log4cplus::SharedAppenderPtr{new OutputAppender{STDOUT_FILENO}}}
     , m_reducer{servingOptions(settings, incarnation)}
-    , m_reactor{loop, m_reducer,
-                [this](Effect effect) {
-                    carryOut(std::move(effect));
-                }}
-    , m_endpoints{loop, endpointOptions()}
+    , m_runner{loop, m_reducer,
+               [this](Effect effect) {
+                   carryOut(std::move(effect));
+               }}
+    , m_endpointClient{loop, endpointOptions()}
     , m_peers{loop, settings.peersAddress, peerHooks()}
     , m_callersServer{loop, callersOptions(settings),
                       [this](HttpRequest request, const std::shared_ptr<HttpResponder> &responder) {
@@ -138,8 +135,8 @@
              Part::Entry,
              "The process has started.",
              {{"callers", m_callersServer.address()}, {"zone", m_settings.zone.text()}}});
-        m_reactor.submit(Tick{});
-        watchDirectory();
+        m_runner.submit(Tick{});
+        pollDirectory();
     }
     return status;
 }
@@ -159,10 +156,10 @@
     if (std::exchange(m_draining, true)) {
         return;
     }
-    m_drainSince = m_loop.now();
-    m_loop.at(m_drainSince + m_settings.gracePeriod - endMargin, [this] { m_loop.stop(); });
+    m_drainStartedAt = m_loop.now();
+    m_loop.at(m_drainStartedAt + m_settings.gracePeriod - exitMargin, [this] { m_loop.stop(); });
     m_callersServer.closeAfterAnswers();
-    m_reactor.submit(DrainRequested{});
+    m_runner.submit(DrainRequested{});
 }
 
 void ServingApp::reload(const ServingSettings &settings)
@@ -178,7 +175,7 @@
           {"grace_ms", absl::StrCat(settings.gracePeriod / std::chrono::milliseconds{1})},
           {"needs_restart", needsRestart ? "yes" : "no"}}});
     m_settings.gracePeriod = settings.gracePeriod;
-    m_reactor.submit(SettingsChanged{settings.seeds, retryOptions(settings)});
+    m_runner.submit(SettingsChanged{settings.seeds, retryOptions(settings)});
 }
 
 void ServingApp::setCatalog(std::shared_ptr<const Catalog> catalog)
@@ -189,7 +186,7 @@
     m_catalogVersion = catalog->version;
     m_limits = catalog->limits;
     m_callersServer.setMaxBodyBytes(m_limits.maxBodyBytes);
-    m_reactor.submit(CatalogChanged{std::move(catalog)});
+    m_runner.submit(CatalogChanged{std::move(catalog)});
 }
 
 EndpointDirectory &ServingApp::directory() noexcept
@@ -200,7 +197,7 @@
 void ServingApp::endpointsChanged()
 {
     if (auto list = m_directory.takeChange(m_loop.now())) {
-        m_reactor.submit(EndpointsChanged{std::move(list)});
+        m_runner.submit(EndpointsChanged{std::move(list)});
     }
 }
 
@@ -212,15 +209,16 @@
     if (m_logGate.admits(line, m_loop.now())) {
         m_log.write(line);
     }
-    countLoss();
+    countDroppedLines();
 }
 
-void ServingApp::countLoss()
+void ServingApp::countDroppedLines()
 {
-    const std::uint64_t lost = m_logGate.dropped();
-    if (lost != m_countedLoss) {
-        m_metrics.observe(Observe{Metric::LogLinesDroppedTotal, {}, static_cast<double>(lost - m_countedLoss)});
-        m_countedLoss = lost;
+    const std::uint64_t dropped = m_logGate.dropped();
+    if (dropped != m_countedDroppedLines) {
+        m_metrics.observe(
+            Observe{Metric::LogLinesDroppedTotal, {}, static_cast<double>(dropped - m_countedDroppedLines)});
+        m_countedDroppedLines = dropped;
     }
 }
 
@@ -234,60 +232,60 @@
     return m_reducer.readers(m_loop.now());
 }
 
-void ServingApp::onPublishedAsked(PublishedAnswers answers)
+void ServingApp::onPublishedAsked(StoreHandlers handlers)
 {
-    m_peers.onPublishedAsked(std::move(answers));
+    m_peers.onPublishedAsked(std::move(handlers));
 }
 
 void ServingApp::askPublished(const PeerInfo &peer, const std::string &query,
-                              std::function<void(const std::string &body)> then)
+                              std::function<void(const std::string &body)> onBody)
 {
-    m_peers.askPublished(peer, query, std::move(then));
+    m_peers.askPublished(peer, query, std::move(onBody));
 }
 
-void ServingApp::watchDirectory()
+void ServingApp::pollDirectory()
 {
     endpointsChanged();
-    m_loop.at(m_loop.now() + longestTick, [this] { watchDirectory(); });
+    m_loop.at(m_loop.now() + maxTickInterval, [this] { pollDirectory(); });
 }
 
 void ServingApp::handle(HttpRequest request, const std::shared_ptr<HttpResponder> &responder)
 {
-    if (!isWithinLimits(request, *responder)) {
+    if (!checkHeadSize(request, *responder)) {
         return;
     }
-    const CallId call{++m_lastCall};
+    const CallId call{++m_lastCallId};
     auto read = m_codec.readRequest(call, std::move(request));
     if (!read.ok()) {
         log({Severity::Info,
              Part::Net,
-             "A request cannot be read.",
+             "A malformed request was rejected.",
              {{"reason", std::string{read.status().message()}}}});
         responder->answer({400, {}, {}});
         return;
     }
     responder->onClosed([this, call] {
         if (m_callers.erase(call) != 0) {
-            m_reactor.submit(CallerLeft{call});
+            m_runner.submit(CallerLeft{call});
         }
     });
     m_callers.emplace(call, Caller{responder, read->attempt});
-    m_reactor.submit(RequestArrived{*std::move(read)});
+    m_runner.submit(RequestArrived{*std::move(read)});
 }
 
-/*! @brief Answers a request whose head is larger than the configuration allows; the body is bounded as it is read. */
-bool ServingApp::isWithinLimits(const HttpRequest &request, HttpResponder &responder)
+/*! @brief Answers 431 and returns false if the request head exceeds the limit; the server limits the body. */
+bool ServingApp::checkHeadSize(const HttpRequest &request, HttpResponder &responder)
 {
     std::size_t bytes = request.method.size() + request.path.size() + request.query.size();
     for (const auto &[name, value] : request.headers) {
-        bytes += name.size() + value.size() + headerLineExtra;
+        bytes += name.size() + value.size() + headerLineOverhead;
     }
     if (bytes <= m_limits.maxHeadBytes) {
         return true;
     }
     log({Severity::Info,
          Part::Net,
-         "A request's head is too large.",
+         "A request was rejected: its head is too large.",
          {{"bytes", absl::StrCat(bytes)}, {"most", absl::StrCat(m_limits.maxHeadBytes)}}});
     responder.answer({statusHeadTooLarge, {}, {}});
     return false;
@@ -297,7 +295,7 @@
 {
     PeerPortHooks hooks;
     hooks.submit = [this](Event event) {
-        m_reactor.submit(std::move(event));
+        m_runner.submit(std::move(event));
     };
     hooks.heartbeat = [this](const std::string &to) {
         return m_reducer.heartbeat(to, m_loop.now());
@@ -308,7 +306,7 @@
     return hooks;
 }
 
-ServingApp::Caller ServingApp::takeCaller(CallId call)
+ServingApp::Caller ServingApp::extractCaller(CallId call)
 {
     const auto node = m_callers.extract(call);
     return node.empty() ? Caller{} : std::move(node.mapped());
@@ -316,12 +314,12 @@
 
 void ServingApp::carryOut(Effect effect)
 {
-    std::visit([this](const auto &one) { carryOut(one); }, effect);
+    std::visit([this](const auto &value) { carryOut(value); }, effect);
 }
 
 void ServingApp::carryOut(const RefuseCaller &effect)
 {
-    const Caller caller = takeCaller(effect.call);
+    const Caller caller = extractCaller(effect.call);
     if (caller.responder) {
         caller.responder->answer(m_codec.writeRefusal(effect, caller.attempt));
     }
@@ -329,7 +327,7 @@
 
 void ServingApp::carryOut(const AnswerCaller &effect)
 {
-    const Caller caller = takeCaller(effect.call);
+    const Caller caller = extractCaller(effect.call);
     if (caller.responder) {
         caller.responder->answer({effect.status, effect.headers, effect.body});
     }
@@ -354,13 +352,13 @@
     if (responder->unsent() > maxUnsentBytes) {
         m_callers.erase(found);
         responder->abort();
-        m_reactor.submit(CallerLeft{effect.call});
+        m_runner.submit(CallerLeft{effect.call});
     }
 }
 
 void ServingApp::carryOut(const FinishStream &effect)
 {
-    const Caller caller = takeCaller(effect.call);
+    const Caller caller = extractCaller(effect.call);
     if (caller.responder) {
         caller.responder->finish();
     }
@@ -368,7 +366,7 @@
 
 void ServingApp::carryOut(const AbortStream &effect)
 {
-    const Caller caller = takeCaller(effect.call);
+    const Caller caller = extractCaller(effect.call);
     if (caller.responder) {
         caller.responder->abort();
     }
@@ -381,24 +379,24 @@
     hooks.head = [this, run](int status, const HttpHeaders &headers) {
         const auto found = m_runs.find(run);
         if (found != m_runs.end()) {
-            m_reactor.submit(RunAnswered{run, m_codec.readAnswerHead(*found->second.request, status, headers)});
+            m_runner.submit(RunAnswered{run, m_codec.readAnswerHead(*found->second.request, status, headers)});
         }
     };
     hooks.piece = [this, run](std::string_view piece) {
         if (m_runs.contains(run)) {
-            m_reactor.submit(RunReceived{run, std::string{piece}});
+            m_runner.submit(RunReceived{run, std::string{piece}});
         }
     };
     hooks.done = [this, run](const HttpAnswer &) {
         if (m_runs.erase(run) != 0) {
-            m_reactor.submit(RunEnded{run});
+            m_runner.submit(RunEnded{run});
         }
     };
     hooks.failed = [this, run](HttpFailure failure) {
         failRun(run, failure);
     };
     m_runs[run] = Run{{}, effect.request};
-    m_runs[run].call = m_endpoints.call(effect.address, m_codec.writeRun(effect), std::move(hooks));
+    m_runs[run].call = m_endpointClient.call(effect.address, m_codec.writeRun(effect), std::move(hooks));
 }
 
 void ServingApp::failRun(RunNumber run, HttpFailure failure)
@@ -406,14 +404,14 @@
     if (m_runs.erase(run) == 0) {
         return;
     }
-    m_reactor.submit(RunFailed{run, failure == HttpFailure::Connect ? RunFailure::Unreached : RunFailure::Broken});
+    m_runner.submit(RunFailed{run, failure == HttpFailure::Connect ? RunFailure::Unreached : RunFailure::Broken});
 }
 
 void ServingApp::carryOut(const CancelRun &effect)
 {
     const auto node = m_runs.extract(effect.run);
     if (!node.empty()) {
-        m_endpoints.cancel(node.mapped().call);
+        m_endpointClient.cancel(node.mapped().call);
     }
 }
 
@@ -423,23 +421,23 @@
     HttpCallHooks hooks;
     hooks.done = [this, call, items = effect.items.size()](const HttpAnswer &answer) {
         if (m_stageCalls.erase(call) != 0) {
-            m_reactor.submit(m_codec.readStageAnswer(call, items, answer));
+            m_runner.submit(m_codec.readStageAnswer(call, items, answer));
         }
     };
     hooks.failed = [this, call](HttpFailure failure) {
         if (m_stageCalls.erase(call) != 0) {
-            m_reactor.submit(StageCallEnded{
+            m_runner.submit(StageCallEnded{
                 call, failure == HttpFailure::Connect ? StageCallEnd::Unreached : StageCallEnd::Broken, {}});
         }
     };
-    m_stageCalls[call] = m_endpoints.call(effect.address, m_codec.writeStageCall(effect), std::move(hooks));
+    m_stageCalls[call] = m_endpointClient.call(effect.address, m_codec.writeStageCall(effect), std::move(hooks));
 }
 
 void ServingApp::carryOut(const CancelStageCall &effect)
 {
     const auto node = m_stageCalls.extract(effect.call);
     if (!node.empty()) {
-        m_endpoints.cancel(node.mapped());
+        m_endpointClient.cancel(node.mapped());
     }
 }
 
@@ -449,13 +447,13 @@
     hooks.done = [](const HttpAnswer &) {
     };
     hooks.failed = [this, address = effect.address](HttpFailure failure) {
-        // Nothing is lost: the results lapse by themselves.
+        // No retry needed: the results expire at the endpoint.
         log({Severity::Info,
              Part::Net,
-             "Results could not be given up.",
+             "Results could not be released at their endpoint.",
              {{"address", address}, {"reason", std::string{enumName(failure)}}}});
     };
-    m_endpoints.call(effect.address, m_codec.writeRelease(effect.handles), std::move(hooks));
+    m_endpointClient.call(effect.address, m_codec.writeRelease(effect.handles), std::move(hooks));
 }
 
 void ServingApp::carryOut(const HandTask &effect)
@@ -485,7 +483,7 @@
 
 void ServingApp::carryOut(const Drained &)
 {
-    if (std::exchange(m_ending, true)) {
+    if (std::exchange(m_isFinishingDrain, true)) {
         return;
     }
     finishDrain();
@@ -493,14 +491,14 @@
 
 void ServingApp::finishDrain()
 {
-    const TimePoint earliest = m_drainSince + rotationTime;
+    const TimePoint earliest = m_drainStartedAt + balancerRemovalTime;
     if (m_loop.now() < earliest || m_reducer.inProgress() != 0) {
-        m_loop.at(std::max(earliest, m_loop.now() + flushTime), [this] { finishDrain(); });
+        m_loop.at(std::max(earliest, m_loop.now() + flushDelay), [this] { finishDrain(); });
         return;
     }
-    log({Severity::Info, Part::Entry, "The process ends.", {}});
+    log({Severity::Info, Part::Entry, "The drain has finished; the process exits.", {}});
     m_callersServer.shutdown();
-    m_loop.at(m_loop.now() + flushTime, [this] { m_loop.stop(); });
+    m_loop.at(m_loop.now() + flushDelay, [this] { m_loop.stop(); });
 }
 
 void ServingApp::carryOut(const LogLine &line)
--- a/src/bergamottide/app/servingapp.h
+++ b/src/bergamottide/app/servingapp.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bergamottide/app/peerport.h"
-#include "bergamottide/app/reactor.h"
+#include "bergamottide/app/reducerrunner.h"
 #include "bergamottide/net/httpclient.h"
 #include "bergamottide/net/httpserver.h"
 #include "bergamottide/net/loop.h"
@@ -24,7 +24,7 @@
 
 namespace bergamottide {
 
-/*! @brief Format of the requests and answers of one platform. */
+/*! @brief Functions that read and write the platform's HTTP formats. */
 struct ServingCodec
 {
     std::function<absl::StatusOr<serving::CallerRequest>(CallId call, HttpRequest request)> readRequest;
@@ -40,87 +40,86 @@
 };
 
 /**
- * @brief Process that serves callers and calls endpoints itself: the sockets around `ServingReducer`.
+ * @brief Process that serves callers and calls endpoints directly; connects a `ServingReducer` with its sockets.
  *
- * What is served comes from outside, by `setCatalog` and `directory`.
+ * The configuration and the endpoints are passed in through `setCatalog` and `directory`.
  */
 class ServingApp
 {
 public:
     /**
-     * @brief Creates the process; nothing is listened to yet.
-     * @param loop Loop it runs on; outlives the process.
-     * @param clock Source of time; outlives the process.
+     * @brief Creates an app that does not listen yet.
+     * @param loop Event loop; outlives the app.
+     * @param clock Source of time; outlives the app.
      * @param settings Settings.
      * @param codec Format of requests and answers.
-     * @param incarnation Number that sets this start apart.
+     * @param incarnation Number that identifies this start of the process.
      */
     ServingApp(Loop &loop, const Clock &clock, const serving::ServingSettings &settings, ServingCodec codec,
                Incarnation incarnation);
 
-    /*! @brief Starts to listen. */
+    /*! @brief Opens the ports. */
     [[nodiscard]] absl::Status start();
 
-    /*! @brief Returns the address on which callers are listened for, with the port that the kernel chose. */
+    /*! @brief Returns the listen address for callers, with the actual port. */
     [[nodiscard]] std::string callersAddress() const;
 
-    /*! @brief Tells if a request could be served now. */
+    /*! @brief Returns whether a request could be served now. */
     [[nodiscard]] bool canServe() const;
 
-    /*! @brief Begins a graceful shutdown. */
+    /*! @brief Starts a graceful shutdown, which ends by stopping the loop. */
     void drain();
 
     /**
-     * @brief Takes over changed settings: seeds, bounds of repeats, grace period. Others hold until a restart.
+     * @brief Applies changed seeds, retry limits and grace period; other settings need a restart.
      * @param settings Settings.
      */
     void reload(const serving::ServingSettings &settings);
 
     /**
-     * @brief Puts a version of what is served in force, unless a newer one is.
-     * @param catalog Version to take over.
+     * @brief Activates a catalog unless its version is not newer than the active one.
+     * @param catalog Catalog to activate.
      */
     void setCatalog(std::shared_ptr<const serving::Catalog> catalog);
 
-    /*! @brief Returns the directory of endpoints; `endpointsChanged` follows a change of it. */
+    /*! @brief Returns the directory of endpoints; call `endpointsChanged` after changing it. */
     [[nodiscard]] serving::EndpointDirectory &directory() noexcept;
 
-    /*! @brief Takes over changes of the directory. */
+    /*! @brief Applies changes of the directory. */
     void endpointsChanged();
 
     /*! @brief Writes a line to the log. */
     void log(const LogLine &line);
 
-    /*! @brief Returns the peers that are alive. */
+    /*! @brief Returns the peers whose heartbeats are recent. */
     [[nodiscard]] std::vector<serving::PeerInfo> livePeers() const;
 
-    /*! @brief Returns who reads the platform for this process; none if it reads itself. */
+    /*! @brief Returns the peers that read the platform's store for this process; none if it reads the store itself. */
     [[nodiscard]] std::vector<std::string> readers() const;
 
     /**
-     * @brief Sets what answers a peer that asks for what the platform has published.
-     * @param answers Answer for all of it, and for changes.
+     * @brief Sets the handlers of peers' requests for the data of the platform's store.
+     * @param handlers Handlers.
      */
-    void onPublishedAsked(PublishedAnswers answers);
+    void onPublishedAsked(StoreHandlers handlers);
 
     /**
-     * @brief Asks a peer for what the platform has published.
+     * @brief Requests the data of the platform's store from a peer.
      * @param peer Peer to ask.
-     * @param query Query that the peer's `onPublishedAsked` understands.
-     * @param then Called with the body if there is one.
+     * @param query Query string for the peer's handlers.
+     * @param onBody Called with the body; not called if the peer returns none.
      */
     void askPublished(const serving::PeerInfo &peer, const std::string &query,
-                      std::function<void(const std::string &body)> then);
+                      std::function<void(const std::string &body)> onBody);
 
 private:
-    /*! @brief A caller that waits for its answer. */
+    /*! @brief A caller without a final answer. */
     struct Caller
     {
         std::shared_ptr<HttpResponder> responder;
         std::string attempt;
     };
 
-    /*! @brief A run in progress. */
     struct Run
     {
         HttpCallId call{};
@@ -150,12 +149,12 @@
     void carryOut(const Observe &effect);
 
     [[nodiscard]] PeerPortHooks peerHooks();
-    [[nodiscard]] Caller takeCaller(CallId call);
+    [[nodiscard]] Caller extractCaller(CallId call);
     void failRun(serving::RunNumber run, HttpFailure failure);
     void finishDrain();
-    void watchDirectory();
-    [[nodiscard]] bool isWithinLimits(const HttpRequest &request, HttpResponder &responder);
-    void countLoss();
+    void pollDirectory();
+    [[nodiscard]] bool checkHeadSize(const HttpRequest &request, HttpResponder &responder);
+    void countDroppedLines();
 
     Loop &m_loop;
     serving::ServingSettings m_settings;
@@ -165,8 +164,8 @@
     MetricsRegistry m_metrics;
     serving::EndpointDirectory m_directory;
     serving::ServingReducer m_reducer;
-    Reactor<serving::ServingReducer, serving::Event, serving::Effect, serving::Tick> m_reactor;
-    HttpClient m_endpoints;
+    ReducerRunner<serving::ServingReducer, serving::Event, serving::Effect, serving::Tick> m_runner;
+    HttpClient m_endpointClient;
     PeerPort m_peers;
     HttpServer m_callersServer;
     HttpServer m_readyServer;
@@ -174,13 +173,13 @@
     std::map<CallId, Caller> m_callers;
     std::map<serving::RunNumber, Run> m_runs;
     std::map<serving::StageCallNumber, HttpCallId> m_stageCalls;
-    std::uint64_t m_lastCall{};
-    std::uint64_t m_countedLoss{};
+    std::uint64_t m_lastCallId{};
+    std::uint64_t m_countedDroppedLines{};
     std::uint64_t m_catalogVersion{};
     serving::CallerLimits m_limits;
-    TimePoint m_drainSince{};
+    TimePoint m_drainStartedAt{};
     bool m_draining{};
-    bool m_ending{};
+    bool m_isFinishingDrain{};
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/app/sideapp.cpp
+++ b/src/bergamottide/app/sideapp.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/*! @brief Time after the last message before the process ends, so that the streams have sent it. */
-constexpr Duration flushTime = std::chrono::milliseconds{300};
-/*! @brief Time for which the stream to a process that vanished from the list is kept. */
-constexpr Duration vanishedKeepTime = std::chrono::seconds{60};
-/*! @brief Largest body read on the admin port: a document of a megabyte with room. */
-constexpr std::size_t maxAdminBytes = 2u << 20;
-
-SideIdentity identityOf(const Settings &settings, Incarnation incarnation)
+/*! @brief Time between the last message and the exit, so that the streams can send what is buffered. */
+constexpr Duration flushDelay = std::chrono::milliseconds{300};
+/*! @brief Time for which the stream to a process that left the instance list is kept. */
+constexpr Duration removedPeerRetention = std::chrono::seconds{60};
+/*! @brief Upper bound of the body size on the admin port; fits the largest document that is validated there. */
+constexpr std::size_t maxAdminBodyBytes = 2u << 20;
+
+SideIdentity makeIdentity(const Settings &settings, Incarnation incarnation)
 {
     return SideIdentity{settings.instance, settings.region, settings.zone,
                         settings.pool,     incarnation,     static_cast<std::uint64_t>(incarnation)};
@@ -43,18 +43,18 @@
     : m_loop{loop}
     , m_settings{settings}
     , m_telemetry{settings, clock}
-    , m_reducer{identityOf(settings, incarnation)}
-    , m_reactor{loop, m_reducer,
-                [this](SideEffect effect) {
-                    carryOut(std::move(effect));
-                }}
+    , m_reducer{makeIdentity(settings, incarnation)}
+    , m_runner{loop, m_reducer,
+               [this](SideEffect effect) {
+                   carryOut(std::move(effect));
+               }}
     , m_admin{settings.adminKeyDigest, adminHooks()}
-    , m_adminServer{loop, HttpServerOptions{settings.adminAddress, {}, maxAdminBytes},
+    , m_adminServer{loop, HttpServerOptions{settings.adminAddress, {}, maxAdminBodyBytes},
                     [this](const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder) {
                         m_admin.handle(request, *responder);
                     }}
     , m_transport{loop, transportOptions(settings, incarnation), peerHooks()}
-    , m_peers{m_transport, settings.instance, Role::Side, [](const Instance &) { return false; }, vanishedKeepTime}
+    , m_peers{m_transport, settings.instance, Role::Side, [](const Instance &) { return false; }, removedPeerRetention}
     , m_feed{loop, feedOptions(settings, incarnation), feedHooks()}
 {
 }
@@ -66,7 +66,7 @@
     if (status.ok()) {
         carryOut(AuditRecord{AuditKind::Start, m_settings.instance.text(), "process started", {}});
         m_feed.start();
-        m_reactor.submit(Tick{});
+        m_runner.submit(Tick{});
         pollEndpoint();
     }
     return status;
@@ -75,7 +75,7 @@
 void SideApp::drain(const std::string &cause)
 {
     m_draining = true;
-    m_reactor.submit(DrainRequested{cause});
+    m_runner.submit(DrainRequested{cause});
 }
 
 std::string SideApp::adminAddress() const
@@ -90,7 +90,7 @@
 
 void SideApp::carryOut(SideEffect effect)
 {
-    std::visit([this](const auto &one) { carryOut(one); }, effect);
+    std::visit([this](const auto &value) { carryOut(value); }, effect);
 }
 
 void SideApp::carryOut(const SendMessage &effect)
@@ -104,7 +104,7 @@
         m_endpoint->start(effect);
         return;
     }
-    m_reactor.submit(EndpointFinished{effect.run.run, EndpointResult::Refused, Reason::NoEndpoint});
+    m_runner.submit(EndpointFinished{effect.run.run, EndpointResult::Refused, Reason::NoEndpoint});
 }
 
 void SideApp::carryOut(const EndpointCancel &effect)
@@ -120,12 +120,12 @@
         m_endpoint->order(effect);
         return;
     }
-    m_reactor.submit(OrderAnswered{effect.fence, false});
+    m_runner.submit(OrderAnswered{effect.fence, false});
 }
 
 void SideApp::carryOut(const DrainComplete &)
 {
-    m_loop.at(m_loop.now() + flushTime, [this] { m_loop.stop(); });
+    m_loop.at(m_loop.now() + flushDelay, [this] { m_loop.stop(); });
 }
 
 void SideApp::carryOut(const LogLine &line)
@@ -147,16 +147,16 @@
 {
     PlatformFeedHooks hooks;
     hooks.document = [this](ConfigChanged change) {
-        takeDocument(change.document);
-        m_reactor.submit(std::move(change));
+        applyDocument(change.document);
+        m_runner.submit(std::move(change));
     };
     hooks.view = [this](std::shared_ptr<const InstanceView> view) {
         m_peers.update(*view, m_loop.now());
-        m_reactor.submit(ViewChanged{std::move(view)});
+        m_runner.submit(ViewChanged{std::move(view)});
     };
     hooks.send = [this](const SendMessage &effect) {
         if (std::holds_alternative<ConfigSubscribe>(effect.message)) {
-            m_peers.require(effect.to, m_loop.now());
+            m_peers.requestStream(effect.to, m_loop.now());
         }
         carryOut(effect);
     };
@@ -176,17 +176,17 @@
 {
     PeerHooks hooks;
     hooks.up = [this](const InstanceName &peer) {
-        m_peers.opened(peer);
-        m_reactor.submit(PeerUp{peer});
+        m_peers.handleOpened(peer);
+        m_runner.submit(PeerUp{peer});
     };
     hooks.down = [this](const InstanceName &peer) {
-        m_peers.closed(peer, m_loop.now());
-        m_feed.closed(peer);
-        m_reactor.submit(PeerDown{peer});
+        m_peers.handleClosed(peer, m_loop.now());
+        m_feed.handleStreamClosed(peer);
+        m_runner.submit(PeerDown{peer});
     };
     hooks.received = [this](const InstanceName &peer, Message message) {
-        m_feed.received(peer, message);
-        m_reactor.submit(PeerMessage{peer, std::move(message)});
+        m_feed.handleMessage(peer, message);
+        m_runner.submit(PeerMessage{peer, std::move(message)});
     };
     return hooks;
 }
@@ -216,21 +216,21 @@
 {
     EndpointHooks hooks;
     hooks.piece = [this](EndpointPiece piece) {
-        m_reactor.submit(std::move(piece));
+        m_runner.submit(std::move(piece));
     };
     hooks.finished = [this](EndpointFinished finished) {
-        m_reactor.submit(finished);
+        m_runner.submit(finished);
     };
     hooks.reported = [this](EndpointReport report) {
-        m_reactor.submit(std::move(report));
+        m_runner.submit(std::move(report));
     };
     hooks.ordered = [this](OrderAnswered answered) {
-        m_reactor.submit(answered);
+        m_runner.submit(answered);
     };
     return hooks;
 }
 
-void SideApp::takeDocument(const std::shared_ptr<const Document> &document)
+void SideApp::applyDocument(const std::shared_ptr<const Document> &document)
 {
     m_reportPeriod = document->policy.reportPeriod;
     const auto pool = document->pools.find(m_settings.pool);
@@ -251,7 +251,7 @@
 
 void SideApp::pollEndpoint()
 {
-    m_peers.expire(m_loop.now());
+    m_peers.closeExpired(m_loop.now());
     if (m_endpoint) {
         m_endpoint->poll();
     }
--- a/src/bergamottide/app/sideapp.h
+++ b/src/bergamottide/app/sideapp.h
@@ -3,7 +3,7 @@
 #include "bergamottide/app/adminport.h"
 #include "bergamottide/app/peerset.h"
 #include "bergamottide/app/platformfeed.h"
-#include "bergamottide/app/reactor.h"
+#include "bergamottide/app/reducerrunner.h"
 #include "bergamottide/app/telemetry.h"
 #include "bergamottide/config/settings.h"
 #include "bergamottide/endpoint/endpointadapter.h"
@@ -20,37 +20,37 @@
 namespace bergamottide {
 
 /**
- * @brief A side as a process: its reducer with the endpoint's adapter, the streams from the
- * entries, the platform's clients and the admin port around it.
+ * @brief Sidecar process of one endpoint, which schedules its runs (role `side`).
  *
- * The adapter is made when the first document tells what kind of endpoint the pool has, and
- * anew when that changes.
+ * Connects a `SideReducer` with the endpoint's adapter, the streams from the entries, the platform's clients and the
+ * admin port. The adapter is created when a configuration document sets the kind of the pool, and again when the kind
+ * changes.
  */
 class SideApp
 {
 public:
     /**
-     * @brief Creates a side that does not listen yet.
-     * @param loop Loop it runs on; outlives the side.
-     * @param clock Source of the wall time for log and audit trail; outlives the object.
+     * @brief Creates a sidecar that does not listen yet.
+     * @param loop Event loop; outlives the sidecar.
+     * @param clock Source of the wall time for log and audit trail; outlives the sidecar.
      * @param settings Settings of the process.
      * @param incarnation Number of this start of the process.
      */
     SideApp(Loop &loop, const Clock &clock, const Settings &settings, Incarnation incarnation);
 
-    /*! @brief Listens on its ports and starts to read the platform. */
+    /*! @brief Opens the ports and starts to read configuration and instance list from the platform. */
     [[nodiscard]] absl::Status start();
 
     /**
-     * @brief Starts a graceful shutdown; the loop is stopped at its end.
-     * @param cause Why, for the audit trail.
+     * @brief Starts a graceful shutdown, which ends by stopping the loop.
+     * @param cause Cause written to the audit trail.
      */
     void drain(const std::string &cause);
 
-    /*! @brief Returns the address of the admin port. */
+    /*! @brief Returns the listen address of the admin port. */
     [[nodiscard]] std::string adminAddress() const;
 
-    /*! @brief Returns the address for other processes of the system. */
+    /*! @brief Returns the listen address for peers. */
     [[nodiscard]] std::string peersAddress() const;
 
 private:
@@ -68,8 +68,8 @@
     [[nodiscard]] PeerHooks peerHooks();
     [[nodiscard]] AdminHooks adminHooks();
     [[nodiscard]] EndpointHooks endpointHooks();
-    void takeDocument(const std::shared_ptr<const Document> &document);
-    /*! @brief Asks the endpoint for its load, closes streams no longer asked for, and comes back. */
+    void applyDocument(const std::shared_ptr<const Document> &document);
+    /*! @brief Polls the load of the endpoint and closes expired streams periodically. */
     void pollEndpoint();
     [[nodiscard]] bool ready() const;
     [[nodiscard]] std::string status() const;
@@ -78,7 +78,7 @@
     Settings m_settings;
     Telemetry m_telemetry;
     SideReducer m_reducer;
-    Reactor<SideReducer, SideEvent, SideEffect, Tick> m_reactor;
+    ReducerRunner<SideReducer, SideEvent, SideEffect, Tick> m_runner;
     AdminPort m_admin;
     HttpServer m_adminServer;
     PeerTransport m_transport;
--- a/src/bergamottide/app/startup.cpp
+++ b/src/bergamottide/app/startup.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/*! @brief Shortest secret of a ticket key in bytes; a shorter one can be guessed. */
+/*! @brief Shortest allowed secret of a ticket key. */
 constexpr std::size_t minSecretBytes = 16;
 
 std::optional<std::string> readFile(const std::string &path)
@@ -34,12 +34,12 @@
 {
     const auto text = path.empty() ? std::optional<std::string>{""} : readFile(path);
     if (!text) {
-        std::cerr << path << ": cannot be read\n";
+        std::cerr << path << ": the file cannot be read\n";
         return std::nullopt;
     }
     auto values = parseOverrides(overrides);
     if (!values) {
-        std::cerr << "--set: not a list of name=value\n";
+        std::cerr << "--set: expected a list of name=value, separated by commas\n";
         return std::nullopt;
     }
     values->try_emplace("role", std::string{enumName(role)});
@@ -48,7 +48,7 @@
         std::cerr << issueText(issue) << "\n";
     }
     if (result.settings && result.settings->role != role) {
-        std::cerr << "role: this program is of role " << enumName(role) << "\n";
+        std::cerr << "role: this program requires the role " << enumName(role) << "\n";
         return std::nullopt;
     }
     return result.settings;
@@ -60,7 +60,8 @@
     for (const std::string &path : files) {
         auto secret = readFile(path);
         if (!secret || secret->size() < minSecretBytes) {
-            return makeError(Reason::Internal, path, "The file of a ticket key is absent or too short");
+            return makeError(Reason::Internal, path,
+                             "The file of a ticket key cannot be read or is shorter than 16 bytes");
         }
         keys.push_back(TicketKey{std::filesystem::path{path}.filename().string(), *std::move(secret)});
     }
@@ -72,7 +73,7 @@
     std::uint64_t number = 0;
     while (number == 0) {
         if (RAND_bytes(reinterpret_cast<unsigned char *>(&number), sizeof(number)) != 1) {
-            std::cerr << "no random numbers\n";
+            std::cerr << "RAND_bytes failed: no random numbers available\n";
             std::abort();
         }
     }
@@ -89,7 +90,7 @@
     return TlsFiles{settings.peersCertificate, settings.peersKey, settings.peersAuthority};
 }
 
-void announce(const Settings &settings, const std::vector<std::pair<std::string, std::string>> &addresses)
+void printAddresses(const Settings &settings, const std::vector<std::pair<std::string, std::string>> &addresses)
 {
     nlohmann::json line{{"instance", settings.instance.text()}, {"role", std::string{enumName(settings.role)}},
                         {"region", settings.region.text()},     {"zone", settings.zone.text()},
--- a/src/bergamottide/app/startup.h
+++ b/src/bergamottide/app/startup.h
@@ -16,39 +16,39 @@
 
 /**
  * @file
- * @brief What the daemons do before their loop runs.
+ * @brief Startup helpers of the daemons.
  */
 
 /**
- * @brief Reads the settings of a process and prints every error to the standard error stream.
- * @param path File with the settings; empty for none.
- * @param overrides Settings of the command line, `name=value,…`.
- * @param role Role that the settings have to name.
- * @return The settings, or nothing after an error.
+ * @brief Reads the settings of a process and prints every error to standard error.
+ * @param path Settings file; empty for none.
+ * @param overrides Settings from the command line, `name=value,…`; they take precedence over the file.
+ * @param role Role of the program; settings with another role are an error.
+ * @return The settings; nothing on error.
  */
 [[nodiscard]] std::optional<Settings> loadSettings(const std::string &path, const std::string &overrides, Role role);
 
 /**
  * @brief Reads the keys that authenticate tickets.
- * @param files Files with one secret each, the signing one first.
+ * @param files Files with one secret each; the first secret signs.
  * @return The keys, each named after its file, or an error that names the file.
  */
 [[nodiscard]] absl::StatusOr<std::vector<TicketKey>> readTicketKeys(const std::vector<std::string> &files);
 
-/*! @brief Draws the number that sets this start of the process apart from all others. */
+/*! @brief Returns a random non-zero number that identifies this start of the process. */
 [[nodiscard]] Incarnation drawIncarnation();
 
-/*! @brief Returns the files of the callers' certificate. */
+/*! @brief Returns the certificate files of the callers' port. */
 [[nodiscard]] TlsFiles callersTls(const Settings &settings);
 
-/*! @brief Returns the files for mutual TLS between processes. */
+/*! @brief Returns the certificate files for mutual TLS between peers. */
 [[nodiscard]] TlsFiles peersTls(const Settings &settings);
 
 /**
- * @brief Prints one JSON line with the addresses listened on, for whoever started the process.
+ * @brief Prints one JSON line with identity and listen addresses to standard output, for the parent process.
  * @param settings Settings of the process.
- * @param addresses Names and addresses of its ports.
+ * @param addresses JSON key and address of each port.
  */
-void announce(const Settings &settings, const std::vector<std::pair<std::string, std::string>> &addresses);
+void printAddresses(const Settings &settings, const std::vector<std::pair<std::string, std::string>> &addresses);
 
 } // namespace bergamottide
--- a/src/daemons/bergamottide-entry.cpp
+++ b/src/daemons/bergamottide-entry.cpp
@@ -1,6 +1,6 @@
 /*!
  * @file
- * @brief Daemon of an entry.
+ * @brief Entry daemon: accepts requests and runs their stages on endpoints.
  */
 #include "bergamottide/app/entryapp.h"
 #include "bergamottide/app/signalwatch.h"
@@ -11,7 +11,7 @@
 #include <iostream>
 
 DEFINE_string(settings, "", "YAML file with the settings of the process");
-DEFINE_string(set, "", "Settings that replace those of the file: name=value,...");
+DEFINE_string(set, "", "Settings that override those of the file: name=value,...");
 DEFINE_bool(check, false, "Check the settings and exit");
 
 using namespace bergamottide;
@@ -33,15 +33,15 @@
     EntryApp app{loop, clock, settings, *std::move(keys), drawIncarnation()};
     const SignalWatch signals{loop, [&app] { app.drain("SIGTERM"); },
                               [&app] {
-                                  app.reload();
+                                  app.reloadTls();
                               }};
     const absl::Status status = app.start();
     if (!status.ok()) {
         std::cerr << status.message() << "\n";
         return 1;
     }
-    announce(settings,
-             {{"callers", app.callersAddress()}, {"admin", app.adminAddress()}, {"address", app.peersAddress()}});
+    printAddresses(settings,
+                   {{"callers", app.callersAddress()}, {"admin", app.adminAddress()}, {"address", app.peersAddress()}});
     loop.run();
     return 0;
 }
@@ -51,7 +51,7 @@
 int main(int argc, char **argv)
 {
     blockSignals();
-    gflags::SetUsageMessage("takes callers' requests and drives them through their stages");
+    gflags::SetUsageMessage("accepts callers' requests and runs their stages on endpoints");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     const auto settings = loadSettings(FLAGS_settings, FLAGS_set, Role::Entry);
     return settings ? run(*settings) : 1;
--- a/src/daemons/bergamottide-side.cpp
+++ b/src/daemons/bergamottide-side.cpp
@@ -1,6 +1,6 @@
 /*!
  * @file
- * @brief Daemon of a side, which runs beside one endpoint.
+ * @brief Sidecar daemon (role `side`): runs beside one endpoint and schedules its runs.
  */
 #include "bergamottide/app/sideapp.h"
 #include "bergamottide/app/signalwatch.h"
@@ -11,7 +11,7 @@
 #include <iostream>
 
 DEFINE_string(settings, "", "YAML file with the settings of the process");
-DEFINE_string(set, "", "Settings that replace those of the file: name=value,...");
+DEFINE_string(set, "", "Settings that override those of the file: name=value,...");
 DEFINE_bool(check, false, "Check the settings and exit");
 
 using namespace bergamottide;
@@ -31,7 +31,7 @@
         std::cerr << status.message() << "\n";
         return 1;
     }
-    announce(settings, {{"admin", app.adminAddress()}, {"address", app.peersAddress()}});
+    printAddresses(settings, {{"admin", app.adminAddress()}, {"address", app.peersAddress()}});
     loop.run();
     return 0;
 }
@@ -41,7 +41,7 @@
 int main(int argc, char **argv)
 {
     blockSignals();
-    gflags::SetUsageMessage("guards one endpoint: queues its runs fairly and keeps their results");
+    gflags::SetUsageMessage("runs beside one endpoint: queues its runs fairly and stores their results");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     const auto settings = loadSettings(FLAGS_settings, FLAGS_set, Role::Side);
     if (!settings) {
--- a/test/bergamottide/app/callerport.cpp
+++ b/test/bergamottide/app/callerport.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-/*! @brief Responder that keeps what it is told. */
+/*! @brief Responder that records its calls. */
 class FakeResponder final : public HttpResponder
 {
 public:
     void answer(HttpAnswer answer) override
     {
-        whole = std::move(answer);
+        answered = std::move(answer);
     }
 
     void begin(int status, const HttpHeaders &) override
     {
-        whole.status = status;
+        answered.status = status;
     }
 
     void send(std::string_view piece) override
@@ -44,20 +44,20 @@
 
     void onClosed(std::function<void()> hook) override
     {
-        closed = std::move(hook);
+        closedHook = std::move(hook);
     }
 
     [[nodiscard]] std::size_t unsent() const override
     {
-        return waiting;
+        return unsentBytes;
     }
 
-    HttpAnswer whole{0, {}, {}};
+    HttpAnswer answered{0, {}, {}};
     std::string sent;
     bool finished{};
     bool aborted{};
-    std::size_t waiting{};
-    std::function<void()> closed;
+    std::size_t unsentBytes{};
+    std::function<void()> closedHook;
 };
 
 HttpRequest submission(HttpHeaders headers = {})
@@ -73,23 +73,23 @@
 
 } // namespace
 
-/*! @brief Callers' port without a socket. */
+/*! @brief Parsing of callers' requests and delivery of answers, without a socket. */
 class CallerPortTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CallerPortTest);
-    CPPUNIT_TEST(idempotencyKeyNamesOneRequestForEveryKeyOfAWorkspace);
-    CPPUNIT_TEST(requestsWithoutIdentityDiffer);
+    CPPUNIT_TEST(idempotencyKeyGivesSameRequestIdForAllKeysOfWorkspace);
+    CPPUNIT_TEST(requestsWithoutIdGetDistinctIds);
     CPPUNIT_TEST(closedConnectionIsReportedOnce);
-    CPPUNIT_TEST(detachedCallerGetsItsTicketAndNothingElse);
-    CPPUNIT_TEST(piecesCarryTheirOffsets);
-    CPPUNIT_TEST(bytesThatAreNotTextArriveUnchanged);
-    CPPUNIT_TEST(slowReaderIsLetGo);
-    CPPUNIT_TEST(statusFollowsTheTable);
+    CPPUNIT_TEST(asynchronousCallerReceivesOnlyTicket);
+    CPPUNIT_TEST(streamedPiecesHaveOffsets);
+    CPPUNIT_TEST(nonUtf8ResultIsSentAsBase64);
+    CPPUNIT_TEST(slowReaderIsDisconnected);
+    CPPUNIT_TEST(statusDependsOnOutcomeAndReason);
     CPPUNIT_TEST(everyReasonHasAStatus);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void idempotencyKeyNamesOneRequestForEveryKeyOfAWorkspace()
+    void idempotencyKeyGivesSameRequestIdForAllKeysOfWorkspace()
     {
         auto document = std::make_shared<Document>();
         Workspace workspace;
@@ -108,7 +108,7 @@
         CPPUNIT_ASSERT(submitted(0).request != submitted(2).request);
     }
 
-    void requestsWithoutIdentityDiffer()
+    void requestsWithoutIdGetDistinctIds()
     {
         submit(submission());
         submit(submission());
@@ -119,29 +119,29 @@
     void closedConnectionIsReportedOnce()
     {
         const auto responder = submit(submission());
-        responder->closed();
-        responder->closed();
+        responder->closedHook();
+        responder->closedHook();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_events.size());
         CPPUNIT_ASSERT(std::holds_alternative<CallerGone>(m_events[1]));
         m_port.carryOut(answerTo(0, "late"));
-        CPPUNIT_ASSERT_EQUAL(0, responder->whole.status);
+        CPPUNIT_ASSERT_EQUAL(0, responder->answered.status);
     }
 
-    void detachedCallerGetsItsTicketAndNothingElse()
+    void asynchronousCallerReceivesOnlyTicket()
     {
         const auto responder = submit(submission({{"prefer", "respond-async"}}));
         CPPUNIT_ASSERT(submitted(0).wantsTicket);
         const Ticket ticket{submitted(0).request, WorkspaceName{"audit"}, InstanceName{"side"}, {}, Serial{4}};
         m_port.carryOut(CallerTicket{submitted(0).call, ticket});
-        CPPUNIT_ASSERT_EQUAL(202, responder->whole.status);
-        const auto body = nlohmann::json::parse(responder->whole.body);
+        CPPUNIT_ASSERT_EQUAL(202, responder->answered.status);
+        const auto body = nlohmann::json::parse(responder->answered.body);
         CPPUNIT_ASSERT(*m_tickets.read(body.value("ticket", "")) == ticket);
         m_port.carryOut(answerTo(0, "later"));
-        CPPUNIT_ASSERT_EQUAL(202, responder->whole.status);
+        CPPUNIT_ASSERT_EQUAL(202, responder->answered.status);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_events.size());
     }
 
-    void piecesCarryTheirOffsets()
+    void streamedPiecesHaveOffsets()
     {
         const auto responder = submit(submission({{"accept", "text/event-stream"}}));
         m_port.carryOut(CallerPiece{submitted(0).call, "one "});
@@ -153,42 +153,42 @@
         CPPUNIT_ASSERT(responder->sent.find("event: answer\n") != std::string::npos);
     }
 
-    void bytesThatAreNotTextArriveUnchanged()
+    void nonUtf8ResultIsSentAsBase64()
     {
         const auto responder = submit(submission());
         m_port.carryOut(answerTo(0, "\xff\xfe"));
-        const auto body = nlohmann::json::parse(responder->whole.body);
+        const auto body = nlohmann::json::parse(responder->answered.body);
         CPPUNIT_ASSERT_EQUAL(std::string{"//4="}, body.value("result_base64", ""));
-        CPPUNIT_ASSERT_EQUAL(std::string{R"({"offset":0,"base64":"//4="})"}, pieceData(0, "\xff\xfe"));
+        CPPUNIT_ASSERT_EQUAL(std::string{R"({"offset":0,"base64":"//4="})"}, pieceEventData(0, "\xff\xfe"));
     }
 
-    void slowReaderIsLetGo()
+    void slowReaderIsDisconnected()
     {
         const auto responder = submit(submission({{"accept", "text/event-stream"}}));
-        responder->waiting = 100u << 20;
+        responder->unsentBytes = 100u << 20;
         m_port.carryOut(CallerPiece{submitted(0).call, "piece"});
         CPPUNIT_ASSERT(std::holds_alternative<CallerGone>(m_events.back()));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_port.waiting());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_port.waitingCalls());
     }
 
-    void statusFollowsTheTable()
+    void statusDependsOnOutcomeAndReason()
     {
-        CPPUNIT_ASSERT_EQUAL(200, answerStatus(Outcome::Completed, Reason::None));
-        CPPUNIT_ASSERT_EQUAL(429, answerStatus(Outcome::NotRun, Reason::Overloaded));
-        CPPUNIT_ASSERT_EQUAL(503, answerStatus(Outcome::Unknown, Reason::ConnectionLost));
-        CPPUNIT_ASSERT_EQUAL(504, answerStatus(Outcome::Incomplete, Reason::DeadlineExceeded));
+        CPPUNIT_ASSERT_EQUAL(200, httpStatus(Outcome::Completed, Reason::None));
+        CPPUNIT_ASSERT_EQUAL(429, httpStatus(Outcome::NotRun, Reason::Overloaded));
+        CPPUNIT_ASSERT_EQUAL(503, httpStatus(Outcome::Unknown, Reason::ConnectionLost));
+        CPPUNIT_ASSERT_EQUAL(504, httpStatus(Outcome::Incomplete, Reason::DeadlineExceeded));
         CallerAnswer answer;
         answer.outcome = Outcome::NotRun;
         answer.reason = Reason::QueueFull;
         answer.retryAfter = std::chrono::milliseconds{1200};
-        CPPUNIT_ASSERT(headerValue(wholeAnswer(answer, "").headers, "retry-after") == "2");
+        CPPUNIT_ASSERT(headerValue(httpAnswer(answer, "").headers, "retry-after") == "2");
     }
 
     void everyReasonHasAStatus()
     {
         const std::set<int> known{400, 401, 404, 409, 413, 429, 503, 504};
         for (std::size_t index = 0; index < EnumNames<Reason>::names.size(); ++index) {
-            CPPUNIT_ASSERT(known.contains(answerStatus(Outcome::NotRun, static_cast<Reason>(index))));
+            CPPUNIT_ASSERT(known.contains(httpStatus(Outcome::NotRun, static_cast<Reason>(index))));
         }
     }
 
--- a/test/bergamottide/app/peerwire.cpp
+++ b/test/bergamottide/app/peerwire.cpp
@@ -6,17 +6,17 @@
 using namespace bergamottide::serving;
 using std::chrono::milliseconds;
 
-/*! @brief Messages between processes that serve callers. */
+/*! @brief JSON encoding of the messages between serving processes. */
 class PeerWireTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PeerWireTest);
-    CPPUNIT_TEST(heartbeatTellsOfGenerations);
-    CPPUNIT_TEST(heartbeatWithoutGenerationsIsRead);
-    CPPUNIT_TEST(heartbeatOfTheWrongTypesIsATypedError);
+    CPPUNIT_TEST(heartbeatRoundTripsEngineReports);
+    CPPUNIT_TEST(heartbeatWithoutEngineReportsIsAccepted);
+    CPPUNIT_TEST(heartbeatWithWrongFieldTypeIsRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void heartbeatTellsOfGenerations()
+    void heartbeatRoundTripsEngineReports()
     {
         constexpr std::uint64_t digest = 0xfedcba9876543210;
         Heartbeat heartbeat;
@@ -26,7 +26,7 @@
                                      7,
                                      {{InstanceName{"engine-1"}, 1000}},
                                      {{InstanceName{"engine-2"}, {{digest, 13'300}, {2, 40}}, milliseconds{300}}}});
-        const auto read = peerwire::readHeartbeat(peerwire::write(heartbeat));
+        const auto read = peerwire::decodeHeartbeat(peerwire::write(heartbeat));
         CPPUNIT_ASSERT(read.ok());
         const engines::EngineReport &report = read->engines.at(0);
         CPPUNIT_ASSERT_EQUAL(std::string{"b"}, report.origin.text());
@@ -38,22 +38,22 @@
         CPPUNIT_ASSERT(report.placed.at(0).readIn == milliseconds{300});
     }
 
-    void heartbeatWithoutGenerationsIsRead()
+    void heartbeatWithoutEngineReportsIsAccepted()
     {
         std::string text = peerwire::write(Heartbeat{});
         const std::string field = R"("engines":[],)";
         text.erase(text.find(field), field.size());
-        const auto read = peerwire::readHeartbeat(text);
+        const auto read = peerwire::decodeHeartbeat(text);
         CPPUNIT_ASSERT(read.ok());
         CPPUNIT_ASSERT(read->engines.empty());
     }
 
-    void heartbeatOfTheWrongTypesIsATypedError()
+    void heartbeatWithWrongFieldTypeIsRejected()
     {
         std::string text = peerwire::write(Heartbeat{});
         const std::string field = R"("engines":[])";
         text.replace(text.find(field), field.size(), R"("engines":[{"origin":7}])");
-        CPPUNIT_ASSERT(!peerwire::readHeartbeat(text).ok());
+        CPPUNIT_ASSERT(!peerwire::decodeHeartbeat(text).ok());
     }
 };
 
