--- a/bench/stagequeue.cpp
+++ b/bench/stagequeue.cpp
@@ -11,9 +11,9 @@
 
 /**
  * @file
- * @brief Processor time of the process that keeps the queue of a stage pool, and of a relay, in a fleet of hundreds.
+ * @brief CPU time of the process that owns the queue of a stage pool, and of a relay, in a fleet of hundreds.
  *
- * Figures are seconds of processor time for a second of the load: the share of a core that the work takes.
+ * Each iteration simulates one second of load, so its CPU time in seconds is the share of a core in use.
  */
 
 namespace {
@@ -22,19 +22,19 @@
 using namespace bergamottide::serving;
 
 constexpr Duration step = std::chrono::milliseconds{1};
-constexpr std::uint32_t piecesOfTask = 16;
+constexpr std::uint32_t piecesPerTask = 16;
 
-/*! @brief A pool of stage endpoints, beside the engines and other pools that a large deployment has. */
-class OwnerLoad
+/*! @brief Load on the owner of the queue of a stage pool, in a deployment with many other endpoints. */
+class QueueOwnerLoad
 {
 public:
-    OwnerLoad(std::uint32_t endpoints, std::uint32_t others)
+    QueueOwnerLoad(std::uint32_t endpoints, std::uint32_t otherEndpoints)
         : m_catalog{catalog()}
         , m_reducer{options()}
     {
         apply(CatalogChanged{m_catalog});
         auto list = std::make_shared<EndpointList>();
-        for (std::uint32_t number = 0; number < endpoints + others; ++number) {
+        for (std::uint32_t number = 0; number < endpoints + otherEndpoints; ++number) {
             const std::string pool = number < endpoints ? "rerankers" : "engines";
             list->push_back({InstanceName{"endpoint-" + std::to_string(number)}, PoolName{pool}, "10.0.0.1:1",
                              ZoneName{"zone-" + std::to_string(number % 5)}, 1, false});
@@ -42,13 +42,13 @@
         apply(EndpointsChanged{list});
     }
 
-    /*! @brief Lets one step pass in which so many tasks of peers come, and calls end in their time. */
-    void pass(double tasks)
+    /*! @brief Advances the clock by one step, in which tasks of peers arrive and calls complete. */
+    void advance(double tasks)
     {
         m_now += step;
-        m_owed += tasks;
-        for (; m_owed >= 1.0; m_owed -= 1.0) {
-            arrive();
+        m_dueTasks += tasks;
+        for (; m_dueTasks >= 1.0; m_dueTasks -= 1.0) {
+            submitTask();
         }
         while (!m_running.empty() && m_running.front().first <= m_now) {
             const StageCallEnded ended = m_running.front().second;
@@ -60,9 +60,9 @@
         }
     }
 
-    [[nodiscard]] std::uint64_t answered() const noexcept
+    [[nodiscard]] std::uint64_t answeredTasks() const noexcept
     {
-        return m_answered;
+        return m_answeredTasks;
     }
 
 private:
@@ -85,7 +85,7 @@
         return out;
     }
 
-    void arrive()
+    void submitTask()
     {
         StageTask task;
         task.pool = PoolName{"rerankers"};
@@ -94,7 +94,7 @@
         task.due = m_now + std::chrono::milliseconds{600};
         task.attempt = "attempt-" + std::to_string(m_tasks);
         task.stage = 2;
-        task.pieces = piecesOfTask;
+        task.pieces = piecesPerTask;
         for (std::uint32_t input = 0; input < 8; ++input) {
             task.inputs.push_back(
                 {"10.0.0.2:1/" + std::to_string(m_tasks * 8 + input), InstanceName{"other"}, "10.0.0.2:1", 60'000, 1});
@@ -109,35 +109,35 @@
     {
         for (const Effect &effect : m_reducer.apply(event, m_now)) {
             if (const auto *call = std::get_if<StartStageCall>(&effect)) {
-                started(*call);
+                startCall(*call);
             } else if (const auto *answer = std::get_if<AnswerPeerTask>(&effect)) {
-                m_answered += answer->outcomes.empty() ? 0 : 1;
-                release(*answer);
+                m_answeredTasks += answer->outcomes.empty() ? 0 : 1;
+                releaseLater(*answer);
             }
         }
     }
 
-    void started(const StartStageCall &call)
+    void startCall(const StartStageCall &call)
     {
         StageCallEnded ended{call.call, StageCallEnd::Answered, {}, EndpointLoad{1, 0, 1}};
         for (const StageItem &item : call.items) {
             ended.results.push_back({call.address + "/" + item.attempt + "-" + std::to_string(item.piece), {}});
         }
-        const TimePoint due =
+        const TimePoint completion =
             m_now + std::chrono::milliseconds{150} + std::chrono::microseconds{1800} * call.items.size();
-        const auto place = std::upper_bound(m_running.begin(), m_running.end(), due,
-                                            [](TimePoint time, const auto &one) { return time < one.first; });
-        m_running.emplace(place, due, std::move(ended));
+        const auto position = std::upper_bound(m_running.begin(), m_running.end(), completion,
+                                               [](TimePoint time, const auto &entry) { return time < entry.first; });
+        m_running.emplace(position, completion, std::move(ended));
     }
 
-    void release(const AnswerPeerTask &answer)
+    void releaseLater(const AnswerPeerTask &answer)
     {
         PeerReleased released;
         for (const StageOutcome &outcome : answer.outcomes) {
             released.handles.push_back(outcome.result.handle);
         }
         m_released.push_back(std::move(released));
-        // Results are given up some tasks later, when the next stage has fetched them.
+        // Results are released only after the next stage has fetched them.
         if (m_released.size() > 100) {
             const PeerReleased first = std::move(m_released.front());
             m_released.erase(m_released.begin());
@@ -150,23 +150,23 @@
     ServingReducer m_reducer;
     std::vector<std::pair<TimePoint, StageCallEnded>> m_running;
     std::vector<PeerReleased> m_released;
-    double m_owed{};
+    double m_dueTasks{};
     std::uint64_t m_tasks{};
-    std::uint64_t m_answered{};
+    std::uint64_t m_answeredTasks{};
 };
 
-/*! @brief A second of tasks at the owner of a queue: arguments are tasks a second and stage endpoints. */
+/*! @brief One second at the owner of a queue; the arguments are tasks per second and stage endpoints. */
 void keepQueue(benchmark::State &state)
 {
     const auto tasksPerSecond = static_cast<double>(state.range(0));
-    OwnerLoad load{static_cast<std::uint32_t>(state.range(1)), 265};
-    for (auto round : state) {
+    QueueOwnerLoad load{static_cast<std::uint32_t>(state.range(1)), 265};
+    for (auto iteration : state) {
         for (int count = 0; count < 1000; ++count) {
-            load.pass(tasksPerSecond / 1000.0);
+            load.advance(tasksPerSecond / 1000.0);
         }
     }
     state.counters["answered"] =
-        benchmark::Counter(static_cast<double>(load.answered()), benchmark::Counter::kAvgIterations);
+        benchmark::Counter(static_cast<double>(load.answeredTasks()), benchmark::Counter::kAvgIterations);
 }
 BENCHMARK(keepQueue)
     ->Args({100, 12})
@@ -189,7 +189,7 @@
     return heartbeat;
 }
 
-/*! @brief A second of heartbeats at a relay: the argument is the number of processes, every seventh of them a relay. */
+/*! @brief One second of heartbeats at a relay; the argument is the number of processes, a seventh of them relays. */
 void answerHeartbeats(benchmark::State &state)
 {
     const auto fleet = static_cast<std::size_t>(state.range(0));
@@ -199,17 +199,17 @@
     for (std::size_t number = 1; number < fleet; ++number) {
         peers.heard(heartbeatOf(number, number % 7 == 0), now);
     }
-    for (auto second : state) {
+    for (auto iteration : state) {
         for (int beat = 0; beat < 5; ++beat) {
             now += heartbeatPeriod;
             for (std::size_t number = 1; number < fleet; ++number) {
                 if (number % 7 != 0 && number % 8 >= 2) {
                     continue;
                 }
-                const Heartbeat question = heartbeatOf(number, number % 7 == 0);
-                peers.heard(question, now);
+                const Heartbeat received = heartbeatOf(number, number % 7 == 0);
+                peers.heard(received, now);
                 Heartbeat answer;
-                peers.complete(answer, question.from.address, now);
+                peers.complete(answer, received.from.address, now);
                 benchmark::DoNotOptimize(answer);
             }
             benchmark::DoNotOptimize(peers.due(now));
--- a/test/bergamottide/serving/stagesunderload.cpp
+++ b/test/bergamottide/serving/stagesunderload.cpp
@@ -7,17 +7,17 @@
 using bergamottide::test::ServingFixture;
 using std::chrono::milliseconds;
 
-/*! @brief Which stages go first, and how long their results are kept, while a pool is full. */
+/*! @brief Priority of stages, and the release of their results, while a stage pool is saturated. */
 class StagesUnderLoadTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(StagesUnderLoadTest);
-    CPPUNIT_TEST(longPromptLeavesTheStagesBeforeAShortOne);
-    CPPUNIT_TEST(inputsAreGivenUpOnceFetchedWhereRoomIsScarce);
-    CPPUNIT_TEST(inputsStayUntilTheFirstEventWhereThereIsRoom);
+    CPPUNIT_TEST(taskOfALongPromptIsServedFirst);
+    CPPUNIT_TEST(inputsAreReleasedOnceFetchedWhenMemoryIsScarce);
+    CPPUNIT_TEST(inputsAreRetainedWhileMemoryIsAvailable);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void longPromptLeavesTheStagesBeforeAShortOne()
+    void taskOfALongPromptIsServedFirst()
     {
         submit(1, 8, 100);
         const StageCallNumber first = m_fixture.effect<StartStageCall>()->call;
@@ -29,9 +29,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"attempt-3"}, m_fixture.effect<StartStageCall>()->items.front().attempt);
     }
 
-    void inputsAreGivenUpOnceFetchedWhereRoomIsScarce()
+    void inputsAreReleasedOnceFetchedWhenMemoryIsScarce()
     {
-        // 16 results of 1,000 bytes fill four fifths of the only encoder's memory.
+        // 16 results of 1,000 bytes fill 80 % of the memory of the only encoder.
         startRunWith(16);
         m_fixture.pass(milliseconds{50});
         CPPUNIT_ASSERT(m_fixture.effect<FreeResults>() == nullptr);
@@ -41,7 +41,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{16}, freed->handles.size());
     }
 
-    void inputsStayUntilTheFirstEventWhereThereIsRoom()
+    void inputsAreRetainedWhileMemoryIsAvailable()
     {
         startRunWith(4);
         m_fixture.pass(milliseconds{500});
@@ -66,7 +66,7 @@
         m_fixture.apply(ended);
     }
 
-    /*! @brief Has the stage of a request made, and its generation sent. */
+    /*! @brief Completes the stage of a request, so that its generation starts. */
     void startRunWith(std::uint32_t pieces)
     {
         submit(1, pieces, 100);
--- a/test/bergamottide/serving/warmuplimiter.cpp
+++ b/test/bergamottide/serving/warmuplimiter.cpp
@@ -11,26 +11,26 @@
 using namespace bergamottide::serving;
 using test::PeerFleet;
 
-/*! @brief Requests that cold endpoints get from a whole fleet. */
+/*! @brief Limits on the requests that all processes together send to cold endpoints. */
 class WarmupLimiterTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(WarmupLimiterTest);
-    CPPUNIT_TEST(coldEndpointGetsNoMoreThanTheShareOfTheProcess);
-    CPPUNIT_TEST(endpointThatTurnsColdHasAlreadyGotWhatItWasSent);
-    CPPUNIT_TEST(warmEndpointIsNotBounded);
-    CPPUNIT_TEST(endpointThatWasNotReachedCountsAsCold);
+    CPPUNIT_TEST(coldEndpointGetsNoMoreThanTheQuota);
+    CPPUNIT_TEST(requestsSentBeforeAnEndpointTurnsColdCount);
+    CPPUNIT_TEST(warmEndpointIsNotLimited);
+    CPPUNIT_TEST(unreachableEndpointCountsAsCold);
     CPPUNIT_TEST(endpointOfARestoredZoneCountsAsCold);
-    CPPUNIT_TEST(fleetsOfAnySizeDealWhatThereIs);
-    CPPUNIT_TEST(fleetThatHasJustStartedDealsNothing);
-    CPPUNIT_TEST(processesThatAreCutOffKeepTheirShares);
-    CPPUNIT_TEST(burstAtAColdEndpointStaysWithinItsBound);
+    CPPUNIT_TEST(quotasStayWithinTheLimitForAnyFleetSize);
+    CPPUNIT_TEST(newFleetStaysWithinTheLimit);
+    CPPUNIT_TEST(partitionedProcessesStayWithinTheLimit);
+    CPPUNIT_TEST(burstStaysWithinTheLimit);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void coldEndpointGetsNoMoreThanTheShareOfTheProcess()
+    void coldEndpointGetsNoMoreThanTheQuota()
     {
-        const WarmupLimiter limiter = withShare(2);
-        Endpoint endpoint = cold();
+        const WarmupLimiter limiter = withQuota(2);
+        Endpoint endpoint = coldEndpoint();
         CPPUNIT_ASSERT_EQUAL(2U, burst(limiter, endpoint));
         m_now += std::chrono::milliseconds{1000};
         CPPUNIT_ASSERT_EQUAL(0U, burst(limiter, endpoint));
@@ -38,28 +38,28 @@
         CPPUNIT_ASSERT_EQUAL(2U, burst(limiter, endpoint));
     }
 
-    void endpointThatTurnsColdHasAlreadyGotWhatItWasSent()
+    void requestsSentBeforeAnEndpointTurnsColdCount()
     {
-        const WarmupLimiter limiter = withShare(2);
+        const WarmupLimiter limiter = withQuota(2);
         Endpoint endpoint;
         WarmupLimiter::noteSent(pool(), endpoint, m_now);
         endpoint.coldUntil = m_now + std::chrono::seconds{3};
         CPPUNIT_ASSERT_EQUAL(1U, burst(limiter, endpoint));
     }
 
-    void warmEndpointIsNotBounded()
+    void warmEndpointIsNotLimited()
     {
-        const WarmupLimiter limiter = withShare(0);
-        Endpoint endpoint = cold();
+        const WarmupLimiter limiter = withQuota(0);
+        Endpoint endpoint = coldEndpoint();
         CPPUNIT_ASSERT_EQUAL(0U, burst(limiter, endpoint));
         m_now = endpoint.coldUntil;
-        CPPUNIT_ASSERT_EQUAL(tries, burst(limiter, endpoint));
-        Pool unbounded = pool();
-        unbounded.warmup.reset();
-        CPPUNIT_ASSERT(limiter.admits(unbounded, cold(), m_now));
+        CPPUNIT_ASSERT_EQUAL(maxTries, burst(limiter, endpoint));
+        Pool unlimited = pool();
+        unlimited.warmup.reset();
+        CPPUNIT_ASSERT(limiter.admits(unlimited, coldEndpoint(), m_now));
     }
 
-    void endpointThatWasNotReachedCountsAsCold()
+    void unreachableEndpointCountsAsCold()
     {
         EndpointBoard board = listed();
         board.started(m_record.instance);
@@ -82,28 +82,28 @@
         CPPUNIT_ASSERT(isCold(board));
     }
 
-    void fleetsOfAnySizeDealWhatThereIs()
+    void quotasStayWithinTheLimitForAnyFleetSize()
     {
         for (const std::size_t size : {1U, 3U, 26U, 350U}) {
             PeerFleet fleet{size, m_now};
             fleet.run(std::chrono::seconds{8});
-            const std::uint32_t dealt = fleet.dealt("engine-1", requests);
-            CPPUNIT_ASSERT(dealt <= requests);
-            CPPUNIT_ASSERT(size == 1 || dealt >= requests * 3 / 4);
+            const std::uint32_t totalQuota = fleet.dealt("engine-1", requestsPerSecond);
+            CPPUNIT_ASSERT(totalQuota <= requestsPerSecond);
+            CPPUNIT_ASSERT(size == 1 || totalQuota >= requestsPerSecond * 3 / 4);
         }
     }
 
-    /*! @brief Processes that do not know each other yet would each take the whole. */
-    void fleetThatHasJustStartedDealsNothing()
+    /*! @brief Processes that do not know each other yet must not each use the whole quota. */
+    void newFleetStaysWithinTheLimit()
     {
         PeerFleet fleet{350, m_now};
         for (int step = 0; step < 60; ++step) {
             fleet.run(std::chrono::milliseconds{100});
-            CPPUNIT_ASSERT(fleet.dealt("engine-1", requests) <= requests);
+            CPPUNIT_ASSERT(fleet.dealt("engine-1", requestsPerSecond) <= requestsPerSecond);
         }
     }
 
-    void processesThatAreCutOffKeepTheirShares()
+    void partitionedProcessesStayWithinTheLimit()
     {
         PeerFleet fleet{26, m_now};
         fleet.run(std::chrono::seconds{6});
@@ -112,55 +112,55 @@
         }
         fleet.run(std::chrono::seconds{10});
         for (int engine = 0; engine < 20; ++engine) {
-            CPPUNIT_ASSERT(fleet.dealt("engine-" + std::to_string(engine), requests) <= requests);
+            CPPUNIT_ASSERT(fleet.dealt("engine-" + std::to_string(engine), requestsPerSecond) <= requestsPerSecond);
         }
     }
 
-    /*! @brief 26 processes that each want to send all they can; counted over any second. */
-    void burstAtAColdEndpointStaysWithinItsBound()
+    /*! @brief Checks that 26 processes sending at full rate exceed the limit in no window of a second. */
+    void burstStaysWithinTheLimit()
     {
         PeerFleet fleet{26, m_now};
         fleet.run(std::chrono::seconds{6});
         m_now += std::chrono::seconds{6};
         std::vector<TimePoint> sent;
-        std::vector<Endpoint> seen(26, cold());
-        for (; m_now < seen.front().coldUntil; m_now += std::chrono::milliseconds{10}) {
-            for (std::size_t process = 0; process < seen.size(); ++process) {
+        std::vector<Endpoint> endpoints(26, coldEndpoint());
+        for (; m_now < endpoints.front().coldUntil; m_now += std::chrono::milliseconds{10}) {
+            for (std::size_t process = 0; process < endpoints.size(); ++process) {
                 const WarmupLimiter limiter{
-                    [&fleet, process](const InstanceName &endpoint, std::uint32_t units, TimePoint) {
-                        return fleet.shareOf(process, endpoint.text(), units);
+                    [&fleet, process](const InstanceName &endpoint, std::uint32_t limit, TimePoint) {
+                        return fleet.shareOf(process, endpoint.text(), limit);
                     }};
-                sent.insert(sent.end(), burst(limiter, seen[process]), m_now);
+                sent.insert(sent.end(), burst(limiter, endpoints[process]), m_now);
             }
         }
-        CPPUNIT_ASSERT(sent.size() > requests);
+        CPPUNIT_ASSERT(sent.size() > requestsPerSecond);
         for (const TimePoint from : sent) {
             const auto count = std::ranges::count_if(
                 sent, [from](TimePoint at) { return at >= from && at < from + std::chrono::seconds{1}; });
-            CPPUNIT_ASSERT(count <= requests);
+            CPPUNIT_ASSERT(count <= requestsPerSecond);
         }
     }
 
 private:
-    static constexpr std::uint32_t requests = 11;
-    static constexpr std::uint32_t tries = 30;
+    static constexpr std::uint32_t requestsPerSecond = 11;
+    static constexpr std::uint32_t maxTries = 30;
 
     [[nodiscard]] static Pool pool()
     {
         Pool out;
         out.name = PoolName{"engines"};
-        out.warmup = WarmupSpec{std::chrono::seconds{3}, requests};
+        out.warmup = WarmupSpec{std::chrono::seconds{3}, requestsPerSecond};
         return out;
     }
 
-    [[nodiscard]] static WarmupLimiter withShare(std::uint32_t share)
+    [[nodiscard]] static WarmupLimiter withQuota(std::uint32_t quota)
     {
-        return WarmupLimiter{[share](const InstanceName &, std::uint32_t, TimePoint) {
-            return share;
+        return WarmupLimiter{[quota](const InstanceName &, std::uint32_t, TimePoint) {
+            return quota;
         }};
     }
 
-    [[nodiscard]] Endpoint cold() const
+    [[nodiscard]] Endpoint coldEndpoint() const
     {
         Endpoint out;
         out.record.instance = InstanceName{"engine-1"};
@@ -180,11 +180,11 @@
         return WarmupLimiter::isCold(*pool().warmup, *board.find(m_record.instance), m_now);
     }
 
-    /*! @brief Sends as many requests as are admitted at this moment, and returns their number. */
+    /*! @brief Sends requests until the limiter refuses one; returns the number sent. */
     std::uint32_t burst(const WarmupLimiter &limiter, Endpoint &endpoint) const
     {
         std::uint32_t sent = 0;
-        while (sent < tries && limiter.admits(pool(), endpoint, m_now)) {
+        while (sent < maxTries && limiter.admits(pool(), endpoint, m_now)) {
             WarmupLimiter::noteSent(pool(), endpoint, m_now);
             ++sent;
         }
