--- a/src/bergamottide/serving/fetchpaths.cpp
+++ b/src/bergamottide/serving/fetchpaths.cpp
@@ -6,34 +6,34 @@
 
 namespace {
 
-/*! @brief Failures in a row after which a path counts as broken: single results are gone for other reasons. */
-constexpr std::uint32_t mostFailures = 3;
-/*! @brief Time after a failure in which a broken path is not used. Each trial costs a call of its requests. */
-constexpr Duration pause = std::chrono::milliseconds{1500};
+/*! @brief Consecutive failures after which a path is broken; single results may be missing for other reasons. */
+constexpr std::uint32_t failuresUntilBroken = 3;
+/*! @brief Time for which a broken path is not used after a failure; every retry may waste a call. */
+constexpr Duration brokenPathPause = std::chrono::milliseconds{1500};
 
 } // namespace
 
-void FetchPaths::note(const std::set<ZoneName> &makers, const ZoneName &taker, bool isFetched, TimePoint now)
+void FetchPaths::note(const std::set<ZoneName> &sources, const ZoneName &destination, bool isFetched, TimePoint now)
 {
-    for (const ZoneName &maker : makers) {
-        if (maker == taker) {
+    for (const ZoneName &source : sources) {
+        if (source == destination) {
             continue;
         }
         if (isFetched) {
-            m_paths.erase({maker, taker});
+            m_paths.erase({source, destination});
             continue;
         }
-        Path &path = m_paths[{maker, taker}];
-        if (++path.failures >= mostFailures) {
-            path.brokenUntil = now + pause;
+        Path &path = m_paths[{source, destination}];
+        if (++path.failures >= failuresUntilBroken) {
+            path.brokenUntil = now + brokenPathPause;
         }
     }
 }
 
-bool FetchPaths::isBroken(const std::set<ZoneName> &makers, const ZoneName &taker, TimePoint now) const
+bool FetchPaths::isBroken(const std::set<ZoneName> &sources, const ZoneName &destination, TimePoint now) const
 {
-    return std::ranges::any_of(makers, [this, &taker, now](const ZoneName &maker) {
-        const auto found = m_paths.find({maker, taker});
+    return std::ranges::any_of(sources, [this, &destination, now](const ZoneName &source) {
+        const auto found = m_paths.find({source, destination});
         return found != m_paths.end() && now < found->second.brokenUntil;
     });
 }
--- a/src/bergamottide/serving/fetchpaths.h
+++ b/src/bergamottide/serving/fetchpaths.h
@@ -11,38 +11,38 @@
 namespace bergamottide::serving {
 
 /**
- * @brief Between which zones endpoints cannot fetch results from each other at present, learnt from their failures.
+ * @brief Tracks between which zones endpoints fail to fetch results from each other.
  *
- * Made for partitions between zones: an endpoint reports inputs that it cannot reach as gone. Taken at its word, each
- * of its requests has its whole chain of stages made again, often for the same end.
+ * An endpoint that is partitioned from another zone reports inputs stored there as missing, although endpoints of other
+ * zones can still fetch them. Detecting that avoids repeating all earlier stages of the request.
  */
 class FetchPaths
 {
 public:
     /**
-     * @brief Notes that an endpoint has fetched results, or could not.
-     * @param makers Zones in which the results lie; those of its own zone do not count.
-     * @param taker Zone of the endpoint.
-     * @param isFetched Whether it has got them.
-     * @param now Present time.
+     * @brief Records whether an endpoint could fetch results.
+     * @param sources Zones in which the results are stored; the destination itself is ignored.
+     * @param destination Zone of the endpoint that fetched.
+     * @param isFetched Whether the fetch succeeded.
+     * @param now Current time.
      */
-    void note(const std::set<ZoneName> &makers, const ZoneName &taker, bool isFetched, TimePoint now);
+    void note(const std::set<ZoneName> &sources, const ZoneName &destination, bool isFetched, TimePoint now);
 
-    /*! @brief Tells if results of some of the zones cannot be fetched from another one. */
-    [[nodiscard]] bool isBroken(const std::set<ZoneName> &makers, const ZoneName &taker, TimePoint now) const;
+    /*! @brief Tells whether the path from any of the source zones to the destination is broken. */
+    [[nodiscard]] bool isBroken(const std::set<ZoneName> &sources, const ZoneName &destination, TimePoint now) const;
 
-    /*! @brief Tells if any fetch has failed and none on the same path has succeeded since. */
+    /*! @brief Tells whether the latest fetch has failed on any path. */
     [[nodiscard]] bool hasFailures() const noexcept;
 
 private:
     struct Path
     {
-        /*! @brief Failures in a row. */
+        /*! @brief Number of consecutive failures. */
         std::uint32_t failures{};
         TimePoint brokenUntil{};
     };
 
-    /*! @brief Paths with failures, by the zones of maker and taker. */
+    /*! @brief Paths whose last fetch failed, by source and destination zone. */
     std::map<std::pair<ZoneName, ZoneName>, Path> m_paths;
 };
 
--- a/src/bergamottide/serving/stageforecast.cpp
+++ b/src/bergamottide/serving/stageforecast.cpp
@@ -6,9 +6,9 @@
 
 namespace bergamottide::serving {
 
-StageForecast::StageForecast(const Catalog &catalog, OutlookHook outlook)
+StageForecast::StageForecast(const Catalog &catalog, PoolEstimator estimator)
     : m_catalog{catalog}
-    , m_outlook{std::move(outlook)}
+    , m_estimator{std::move(estimator)}
 {
 }
 
@@ -16,17 +16,17 @@
                                              Duration startsIn) const
 {
     const Pool *pool = m_catalog.pool(stage.pool);
-    const auto outlook = m_outlook(stage.pool, rank);
-    if (pool == nullptr || !pool->batch || !outlook) {
+    const auto estimate = m_estimator(stage.pool, rank);
+    if (pool == nullptr || !pool->batch || !estimate) {
         return std::nullopt;
     }
-    Duration wait = outlook->wait;
+    Duration wait = estimate->wait;
     if (startsIn > Duration::zero()) {
-        // What is on its way comes before this task, and the queue is worked off meanwhile.
-        wait += outlook->perPiece * static_cast<std::int64_t>(outlook->upcoming);
+        // Upcoming pieces are queued before this task; meanwhile the queue drains.
+        wait += estimate->perPiece * static_cast<std::int64_t>(estimate->upcoming);
         wait = std::max(wait - startsIn, Duration::zero());
     }
-    const auto items = std::max<std::int64_t>(pieces, std::llround(outlook->items));
+    const auto items = std::max<std::int64_t>(pieces, std::llround(estimate->items));
     return wait + pool->batch->callTime + pool->batch->itemTime * items;
 }
 
@@ -35,18 +35,18 @@
 {
     Duration sum{};
     for (std::uint32_t level = route.topLevel(); level > 0; --level) {
-        Duration longest{};
+        Duration levelDuration{};
         for (std::size_t index = 0; index < route.stages.size() && index < pieces.size(); ++index) {
             if (route.stages[index].level != level || pieces[index] == 0) {
                 continue;
             }
-            const auto time = stage(route.stages[index], pieces[index], rank, sum);
-            if (!time) {
+            const auto duration = stage(route.stages[index], pieces[index], rank, sum);
+            if (!duration) {
                 return std::nullopt;
             }
-            longest = std::max(longest, *time);
+            levelDuration = std::max(levelDuration, *duration);
         }
-        sum += longest;
+        sum += levelDuration;
     }
     return sum;
 }
--- a/src/bergamottide/serving/stageforecast.h
+++ b/src/bergamottide/serving/stageforecast.h
@@ -11,65 +11,64 @@
 
 namespace bergamottide::serving {
 
-/*! @brief What a new task of some rank finds at a stage pool. */
+/*! @brief Estimated load of a stage pool, as seen by a new task of a given rank. */
 struct PoolOutlook
 {
-    /*! @brief Wait behind the tasks that are in the queue now. */
+    /*! @brief Wait behind the tasks in the queue. */
     Duration wait{};
-    /*! @brief Time by which each further piece in the queue lengthens the wait. */
+    /*! @brief Additional wait for each further piece in the queue. */
     Duration perPiece{};
-    /*! @brief Pieces of admitted requests that will reach the pool later. */
+    /*! @brief Pieces of admitted requests that have yet to reach the queue. */
     std::uint64_t upcoming{};
-    /*! @brief Typical number of items of a call; those of other requests prolong it. */
+    /*! @brief Average number of items in a call, including those of other requests. */
     double items{1.0};
-    /*! @brief Share of the endpoints' memory for results that is taken. */
+    /*! @brief Share of the endpoints' result memory in use, from 0 to 1. */
     double roomTaken{};
 };
 
-/*! @brief Tells the outlook at a pool for a rank; nothing if no endpoint takes work there. */
-using OutlookHook = std::function<std::optional<PoolOutlook>(const PoolName &pool, int rank)>;
+/*! @brief Returns the estimated load of a pool for a rank; nothing if none of its endpoints accepts work. */
+using PoolEstimator = std::function<std::optional<PoolOutlook>(const PoolName &pool, int rank)>;
 
 /**
- * @brief Forecasts the time that the stages of a request take from now until the last of them is done.
+ * @brief Predicts how long the stages of a request take.
  *
- * Made for the begin of a burst: the queues of the later stages are still empty then, although the requests that will
- * fill them are already at work in the first. So what is admitted and still on its way to a pool counts like what waits
- * there.
+ * Work of admitted requests that has yet to reach a pool counts as if it were queued there. At the start of a burst the
+ * queues of later stages are still empty, so their lengths alone would give too short a forecast.
  */
 class StageForecast
 {
 public:
     /**
-     * @brief Creates a forecast for one version of what is served.
-     * @param catalog Pools; outlives the forecast.
-     * @param outlook Tells what a task finds at a pool.
+     * @brief Creates a forecast for one version of the catalog.
+     * @param catalog Catalog with the pools; must outlive the forecast.
+     * @param estimator Returns the load of a pool.
      */
-    StageForecast(const Catalog &catalog, OutlookHook outlook);
+    StageForecast(const Catalog &catalog, PoolEstimator estimator);
 
     /**
-     * @brief Forecasts one stage that starts some time from now.
+     * @brief Predicts the duration of one stage.
      * @param stage Stage.
-     * @param pieces Pieces of it.
-     * @param rank Rank of the request.
+     * @param pieces Number of its pieces.
+     * @param rank Priority rank of the request.
      * @param startsIn Time until its task is submitted.
-     * @return Time from its submission to its end; nothing if no endpoint takes it.
+     * @return Time from submission to completion; nothing if no endpoint of the pool accepts work.
      */
     [[nodiscard]] std::optional<Duration> stage(const StageSpec &stage, std::uint32_t pieces, int rank,
                                                 Duration startsIn) const;
 
     /**
-     * @brief Forecasts all stages of a request that starts now, level by level.
+     * @brief Predicts the total duration of all stages of a request that starts now.
      * @param route Route of the request.
-     * @param pieces Pieces of each stage of the route.
-     * @param rank Rank of the request.
-     * @return Time until the last stage is done; nothing if no endpoint takes one of them.
+     * @param pieces Number of pieces of each stage of the route.
+     * @param rank Priority rank of the request.
+     * @return Time until the last stage is complete; nothing if a pool has no endpoint that accepts work.
      */
     [[nodiscard]] std::optional<Duration> allStages(const Route &route, const std::vector<std::uint32_t> &pieces,
                                                     int rank) const;
 
 private:
     const Catalog &m_catalog;
-    OutlookHook m_outlook;
+    PoolEstimator m_estimator;
 };
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/stagetask.h
+++ b/src/bergamottide/serving/stagetask.h
@@ -12,54 +12,58 @@
 
 namespace bergamottide::serving {
 
-/*! @brief Results that wait for their use at an endpoint. */
+/*! @brief Memory taken by results that are stored at an endpoint and not used yet. */
 struct HeldResults
 {
     InstanceName endpoint;
     std::uint64_t bytes{};
 };
 
-/*! @brief A result that waits for its use. */
+/*! @brief A result in the memory of the endpoint that computed it. */
 struct KeptResult
 {
     std::string handle;
-    /*! @brief Endpoint that keeps it, and its address. */
+    /*! @brief Endpoint that stores the result, and its address. */
     InstanceName endpoint;
     std::string address;
     std::uint64_t bytes{};
-    /*! @brief Incarnation of the process whose scheduler has had it made. */
+    /*! @brief Incarnation of the process whose scheduler requested the result. */
     std::uint64_t scheduler{};
 };
 
-/*! @brief One stage of one request, as handed to a scheduler. */
+/*! @brief Identifies one stage of one request within a scheduler. */
 enum class StageTaskId : std::uint64_t
 {
 };
 
-/*! @brief Pieces of one stage of one request that are to be made. */
+/*! @brief One stage of a request, to be computed piece by piece by the endpoints of a pool. */
 struct StageTask
 {
     StageTaskId id{};
     PoolName pool;
-    /*! @brief Rank over all requests; the lowest goes first. */
+    /*! @brief Priority rank among all requests; lower ranks are served first. */
     int rank{};
-    /*! @brief Time at which its results come too late to be of use. */
+    /*! @brief Time after which its results are of no use. */
     TimePoint deadline{};
-    /*! @brief Latest start with which its request can still be on time, at best; the earliest goes first among equal
-     * ranks. */
+    /*! @brief Latest start that can still meet the objective of the request; orders tasks of equal rank. */
     TimePoint due{};
+    /*! @brief Identifier of the attempt of the request. */
     std::string attempt;
+    /*! @brief Index of the stage in its route. */
     std::uint32_t stage{};
+    /*! @brief Number of pieces to compute. */
     std::uint32_t pieces{};
+    /*! @brief Input of a stage that follows no other stage. */
     std::string key;
-    /*! @brief Results that each piece takes. Once the task has succeeded, its scheduler has given them up. */
+    /*! @brief Results that every piece takes as input; the scheduler releases them once the task has succeeded. */
     std::vector<KeptResult> inputs;
+    /*! @brief Approximate size of the result of one piece. */
     std::uint64_t resultBytes{};
-    /*! @brief Zone in which making it moves the fewest bytes between zones; empty if that does not matter. */
+    /*! @brief Zone in which running the task moves the fewest bytes between zones; empty if any zone will do. */
     ZoneName zone;
-    /*! @brief Process whose request it is. */
+    /*! @brief Process that handles the request. */
     InstanceName from;
-    /*! @brief Results of the pool that this process holds and that another scheduler has had made. */
+    /*! @brief Results of the pool that this process uses and that another scheduler requested. */
     std::vector<HeldResults> held;
 };
 
@@ -67,11 +71,11 @@
 enum class PieceFailure : std::uint8_t
 {
     None,
-    /*! @brief Its time had run out at its turn. */
+    /*! @brief Its deadline had passed, or could not be met, when it was due to run. */
     Late,
-    /*! @brief One of its inputs is no longer there. */
+    /*! @brief One of its inputs is missing or could not be fetched. */
     InputGone,
-    /*! @brief No memory for the result. */
+    /*! @brief The endpoint has no memory for the result. */
     NoRoom,
     Error
 };
@@ -79,12 +83,12 @@
 /*! @brief Result of one piece. */
 struct PieceResult
 {
-    /*! @brief Where the result is kept; empty after a failure. */
+    /*! @brief Handle of the stored result; empty after a failure. */
     std::string handle;
     PieceFailure failure{};
 };
 
-/*! @brief A piece that has its result, or a task that has failed. */
+/*! @brief Result of one piece, or the failure of a whole task. */
 struct StageOutcome
 {
     StageTaskId task{};
