--- a/src/bergamottide/serving/callplanner.cpp
+++ b/src/bergamottide/serving/callplanner.cpp
@@ -55,10 +55,10 @@
 std::vector<Endpoint *> CallPlanner::freeEndpoints(const Pool &pool, TimePoint now) const
 {
     const std::vector<Endpoint *> usable = m_endpoints.usable(pool.name, now);
-    const double fastest = fastestOf(usable, now);
+    const double fastest = minSlowness(usable, now);
     std::vector<Endpoint *> out;
     for (Endpoint *endpoint : usable) {
-        const bool slow = presentSlowness(*endpoint, now) > fastest * slownessBound;
+        const bool slow = currentSlowness(*endpoint, now) > fastest * maxRelativeSlowness;
         if (endpoint->inFlight < pool.batch->slots && endpoint->pausedUntil <= now && !slow
             && m_warmup.admits(pool, *endpoint, now)) {
             out.push_back(endpoint);
@@ -76,7 +76,7 @@
     if (one.local != other.local) {
         return one.local > other.local;
     }
-    return presentSlowness(endpoint, now) < presentSlowness(rival, now);
+    return currentSlowness(endpoint, now) < currentSlowness(rival, now);
 }
 
 /*
--- a/src/bergamottide/serving/drainrate.h
+++ b/src/bergamottide/serving/drainrate.h
@@ -10,38 +10,37 @@
 namespace bergamottide::serving {
 
 /**
- * @brief How fast the queue of a stage pool drains, worked out once for all tasks that are judged by it.
+ * @brief Estimate of how fast the queue of a stage pool drains.
  *
- * Made for a burst at a pool of dozens of endpoints: looking at each of them again for each task that waits lets the
- * process that keeps the queue fall behind the faster, the more waits.
+ * Computed once per queue scan: evaluating every endpoint for every waiting task is too slow for long queues.
  */
 class DrainRate
 {
 public:
     /**
-     * @brief Works the rate out.
-     * @param spec How the pool's endpoints work.
-     * @param endpoints Endpoints that take work.
-     * @param busy Time that calls in progress will still take, added up.
-     * @param fill Typical items of a call while more than one call waits.
-     * @param now Present time.
+     * @brief Computes the drain rate.
+     * @param spec Batching parameters of the pool.
+     * @param endpoints Endpoints that accept work.
+     * @param remainingCallTime Sum of the remaining times of all calls in progress.
+     * @param itemsPerCall Average number of items in a call while there is a backlog.
+     * @param now Current time.
      */
-    DrainRate(const BatchSpec &spec, const std::vector<Endpoint *> &endpoints, Duration busy, double fill,
-              TimePoint now);
+    DrainRate(const BatchSpec &spec, const std::vector<Endpoint *> &endpoints, Duration remainingCallTime,
+              double itemsPerCall, TimePoint now);
 
-    /*! @brief Returns the wait of a task behind so many pieces and the calls in progress. */
+    /*! @brief Returns the wait of a task behind a number of pieces and the calls in progress. */
     [[nodiscard]] Duration waitBehind(std::size_t pieces) const;
 
-    /*! @brief Returns the time by which each further piece ahead lengthens the wait. */
-    [[nodiscard]] Duration perPiece() const;
+    /*! @brief Returns the additional wait for each piece ahead. */
+    [[nodiscard]] Duration timePerPiece() const;
 
 private:
-    Duration m_busy;
+    Duration m_remainingCallTime;
     Duration m_callTime;
     Duration m_itemTime;
-    double m_fill;
-    /*! @brief Endpoints of the expected speed that the pool's slots amount to. */
-    double m_capacity;
+    double m_itemsPerCall;
+    /*! @brief Slots of the pool, weighted by the speed of their endpoints. */
+    double m_effectiveSlots;
 };
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/endpointspeed.cpp
+++ b/src/bergamottide/serving/endpointspeed.cpp
@@ -8,32 +8,32 @@
 
 namespace {
 
-/*! @brief Weight of the newest call in an endpoint's slowness: one slow call of five times the time lifts it to 2.6. */
+/*! @brief Weight of the latest call in the moving average of slowness. */
 constexpr double slownessWeight = 0.4;
-/*! @brief Time constant with which slowness is forgotten, so that a slow endpoint is tried again about every 2 s. */
-constexpr double slownessMemorySeconds = 2.0;
+/*! @brief Time constant of the decay of slowness; lets slow endpoints be tried again. */
+constexpr double slownessDecaySeconds = 2.0;
 
 } // namespace
 
-double presentSlowness(const Endpoint &endpoint, TimePoint now)
+double currentSlowness(const Endpoint &endpoint, TimePoint now)
 {
     const double age = std::chrono::duration<double>(now - endpoint.slownessAt).count();
-    return 1.0 + (endpoint.slowness - 1.0) * std::exp(-age / slownessMemorySeconds);
+    return 1.0 + (endpoint.slowness - 1.0) * std::exp(-age / slownessDecaySeconds);
 }
 
-double fastestOf(const std::vector<Endpoint *> &endpoints, TimePoint now)
+double minSlowness(const std::vector<Endpoint *> &endpoints, TimePoint now)
 {
-    double fastest = std::numeric_limits<double>::max();
+    double lowest = std::numeric_limits<double>::max();
     for (const Endpoint *endpoint : endpoints) {
-        fastest = std::min(fastest, presentSlowness(*endpoint, now));
+        lowest = std::min(lowest, currentSlowness(*endpoint, now));
     }
-    return fastest;
+    return lowest;
 }
 
-void noteSpeed(Endpoint &endpoint, double ratio, TimePoint now)
+void updateSlowness(Endpoint &endpoint, double ratio, TimePoint now)
 {
-    const double known = presentSlowness(endpoint, now);
-    endpoint.slowness = known + slownessWeight * (ratio - known);
+    const double current = currentSlowness(endpoint, now);
+    endpoint.slowness = current + slownessWeight * (ratio - current);
     endpoint.slownessAt = now;
 }
 
--- a/src/bergamottide/serving/endpointspeed.h
+++ b/src/bergamottide/serving/endpointspeed.h
@@ -7,26 +7,26 @@
 
 namespace bergamottide::serving {
 
-/*! @brief An endpoint slower than the fastest of its pool by this factor gets no work. */
-inline constexpr double slownessBound = 2.2;
+/*! @brief Endpoints slower than the fastest one of their pool by more than this factor get no work. */
+inline constexpr double maxRelativeSlowness = 2.2;
 
 /**
- * @brief Returns how much slower than expected an endpoint is at present; what was measured fades.
+ * @brief Returns how much slower than expected an endpoint is; past measurements decay exponentially.
  * @param endpoint Endpoint.
- * @param now Present time.
- * @return Factor; 1 is as expected.
+ * @param now Current time.
+ * @return Ratio of measured to expected call duration; 1 is as expected.
  */
-[[nodiscard]] double presentSlowness(const Endpoint &endpoint, TimePoint now);
+[[nodiscard]] double currentSlowness(const Endpoint &endpoint, TimePoint now);
 
-/*! @brief Returns the slowness of the fastest endpoint; infinite without endpoints. */
-[[nodiscard]] double fastestOf(const std::vector<Endpoint *> &endpoints, TimePoint now);
+/*! @brief Returns the slowness of the fastest endpoint; the largest double if there is none. */
+[[nodiscard]] double minSlowness(const std::vector<Endpoint *> &endpoints, TimePoint now);
 
 /**
- * @brief Notes how long a call took.
+ * @brief Updates the slowness of an endpoint after a call.
  * @param endpoint Endpoint.
- * @param ratio Measured over expected time.
- * @param now Present time.
+ * @param ratio Ratio of measured to expected call duration.
+ * @param now Current time.
  */
-void noteSpeed(Endpoint &endpoint, double ratio, TimePoint now);
+void updateSlowness(Endpoint &endpoint, double ratio, TimePoint now);
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/poolload.cpp
+++ b/src/bergamottide/serving/poolload.cpp
@@ -6,52 +6,52 @@
 
 namespace {
 
-/*! @brief Weight of the newest call in the typical number of items. */
+/*! @brief Weight of the latest call in the moving averages of items. */
 constexpr double callWeight = 0.1;
-/*! @brief Time constant of the rates of arrival: a burst shows within a second, single clumps do not. */
-constexpr double rateMemorySeconds = 1.0;
+/*! @brief Time constant of the arrival rates; smooths out short bursts. */
+constexpr double arrivalDecaySeconds = 1.0;
 
-double decay(TimePoint since, TimePoint now)
+double decayFactor(TimePoint since, TimePoint now)
 {
-    return std::exp(-std::chrono::duration<double>(now - since).count() / rateMemorySeconds);
+    return std::exp(-std::chrono::duration<double>(now - since).count() / arrivalDecaySeconds);
 }
 
 } // namespace
 
-void PoolLoad::noteArrival(int rank, std::uint32_t pieces, TimePoint now)
+void PoolLoad::recordArrival(int rank, std::uint32_t pieces, TimePoint now)
 {
-    Rate &rate = m_arrivals[rank];
-    rate.perSecond = rate.perSecond * decay(rate.at, now) + pieces / rateMemorySeconds;
-    rate.at = now;
+    Rate &rate = m_arrivalRates[rank];
+    rate.perSecond = rate.perSecond * decayFactor(rate.updatedAt, now) + pieces / arrivalDecaySeconds;
+    rate.updatedAt = now;
 }
 
-void PoolLoad::noteCall(const BatchSpec &spec, std::size_t items, std::size_t waiting)
+void PoolLoad::recordCall(const BatchSpec &spec, std::size_t items, std::size_t waiting)
 {
-    m_items += callWeight * (static_cast<double>(items) - m_items);
+    m_itemsPerCall += callWeight * (static_cast<double>(items) - m_itemsPerCall);
     if (waiting >= spec.batch) {
-        const double known = fill(spec);
-        m_fill = known + callWeight * (static_cast<double>(items) - known);
+        const double current = backlogItemsPerCall(spec);
+        m_backlogItemsPerCall = current + callWeight * (static_cast<double>(items) - current);
     }
 }
 
-double PoolLoad::fill(const BatchSpec &spec) const noexcept
+double PoolLoad::backlogItemsPerCall(const BatchSpec &spec) const noexcept
 {
-    return m_fill > 0.0 ? m_fill : static_cast<double>(spec.batch);
+    return m_backlogItemsPerCall > 0.0 ? m_backlogItemsPerCall : static_cast<double>(spec.batch);
 }
 
-double PoolLoad::items() const noexcept
+double PoolLoad::itemsPerCall() const noexcept
 {
-    return m_items;
+    return m_itemsPerCall;
 }
 
-double PoolLoad::urgentRate(int rank, TimePoint now) const
+double PoolLoad::moreUrgentArrivalRate(int rank, TimePoint now) const
 {
     double sum = 0.0;
-    for (const auto &[other, rate] : m_arrivals) {
+    for (const auto &[other, rate] : m_arrivalRates) {
         if (other >= rank) {
             break;
         }
-        sum += rate.perSecond * decay(rate.at, now);
+        sum += rate.perSecond * decayFactor(rate.updatedAt, now);
     }
     return sum;
 }
--- a/src/bergamottide/serving/poolload.h
+++ b/src/bergamottide/serving/poolload.h
@@ -10,50 +10,50 @@
 namespace bergamottide::serving {
 
 /**
- * @brief What the owner of a stage pool's queue has measured of its load: how full calls are, and which work arrives.
+ * @brief Moving averages of the load of a stage pool: items in each call, and arrival rates by rank.
  */
 class PoolLoad
 {
 public:
     /**
-     * @brief Notes a task that has joined the queue.
-     * @param rank Its rank.
-     * @param pieces Its pieces.
-     * @param now Present time.
+     * @brief Records a task that was queued.
+     * @param rank Priority rank of the task.
+     * @param pieces Number of its pieces.
+     * @param now Current time.
      */
-    void noteArrival(int rank, std::uint32_t pieces, TimePoint now);
+    void recordArrival(int rank, std::uint32_t pieces, TimePoint now);
 
     /**
-     * @brief Notes a call.
-     * @param spec How the pool's endpoints work.
-     * @param items Items of the call.
-     * @param waiting Pieces that waited before it was made up.
+     * @brief Records a call.
+     * @param spec Batching parameters of the pool.
+     * @param items Number of items in the call.
+     * @param waiting Number of pieces that were waiting when it was planned.
      */
-    void noteCall(const BatchSpec &spec, std::size_t items, std::size_t waiting);
+    void recordCall(const BatchSpec &spec, std::size_t items, std::size_t waiting);
 
-    /*! @brief Returns the typical items of a call while more than one call waits; a full batch before any is known. */
-    [[nodiscard]] double fill(const BatchSpec &spec) const noexcept;
+    /*! @brief Returns the average items of a call while a full batch waits; the batch size before the first one. */
+    [[nodiscard]] double backlogItemsPerCall(const BatchSpec &spec) const noexcept;
 
-    /*! @brief Returns the typical items of any call; one before any is known. */
-    [[nodiscard]] double items() const noexcept;
+    /*! @brief Returns the average items of all calls; starts at one. */
+    [[nodiscard]] double itemsPerCall() const noexcept;
 
     /**
-     * @brief Returns the pieces a second that arrive with a more urgent rank.
-     * @param rank Rank.
-     * @param now Present time.
+     * @brief Returns the arrival rate of more urgent work, in pieces per second.
+     * @param rank Rank; only lower ranks count.
+     * @param now Current time.
      */
-    [[nodiscard]] double urgentRate(int rank, TimePoint now) const;
+    [[nodiscard]] double moreUrgentArrivalRate(int rank, TimePoint now) const;
 
 private:
     struct Rate
     {
         double perSecond{};
-        TimePoint at{};
+        TimePoint updatedAt{};
     };
 
-    double m_fill{};
-    double m_items{1.0};
-    std::map<int, Rate> m_arrivals;
+    double m_backlogItemsPerCall{};
+    double m_itemsPerCall{1.0};
+    std::map<int, Rate> m_arrivalRates;
 };
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/stagescheduler.cpp
+++ b/src/bergamottide/serving/stagescheduler.cpp
@@ -132,7 +132,7 @@
     pending.task = std::move(task);
     m_queues[pending.task.pool].insert(orderOf(pending));
     m_room.noteHeld(pending.task, now);
-    m_loads[pending.task.pool].noteArrival(pending.task.rank, pending.task.pieces, now);
+    m_loads[pending.task.pool].recordArrival(pending.task.rank, pending.task.pieces, now);
     m_reviews[pending.task.pool].isDue = true;
     m_tasks.emplace(id, std::move(pending));
 }
@@ -276,7 +276,8 @@
 
 DrainRate StageScheduler::drainRate(const Pool &pool, const std::vector<Endpoint *> &usable, TimePoint now)
 {
-    return {*pool.batch, usable, remainingTime(pool.name, now), m_loads[pool.name].fill(*pool.batch), now};
+    return {*pool.batch, usable, remainingTime(pool.name, now), m_loads[pool.name].backlogItemsPerCall(*pool.batch),
+            now};
 }
 
 void StageScheduler::dispatchPool(const Pool &pool, StageQueue &queue, TimePoint now, Effects &effects)
@@ -287,7 +288,7 @@
         if (!planned) {
             return;
         }
-        m_loads[pool.name].noteCall(*pool.batch, planned->items.size(), waitingPieces(queue, m_tasks));
+        m_loads[pool.name].recordCall(*pool.batch, planned->items.size(), waitingPieces(queue, m_tasks));
         send(pool, *planned->endpoint, std::move(planned->items), queue, now, effects);
     }
 }
@@ -335,7 +336,7 @@
                                   {"requests", requestsOf(start)},
                                   {"waiting_tasks", absl::StrCat(queue.size())},
                                   {"result_bytes", absl::StrCat(endpoint.resultBytes)},
-                                  {"slowness", absl::StrCat(presentSlowness(endpoint, now))}}});
+                                  {"slowness", absl::StrCat(currentSlowness(endpoint, now))}}});
     effects.emplace_back(Observe{Metric::StageCallItems, {pool.name.text()}, static_cast<double>(call.items.size())});
     m_endpoints.started(call.endpoint);
     WarmupLimiter::noteSent(pool, endpoint, now);
@@ -678,9 +679,10 @@
             ahead += other <= rank ? waiting : 0;
         }
         // More urgent work that arrives meanwhile goes first as well.
-        const double urgent = load.urgentRate(rank, now) * std::chrono::duration<double>(rate.perPiece()).count();
+        const double urgent =
+            load.moreUrgentArrivalRate(rank, now) * std::chrono::duration<double>(rate.timePerPiece()).count();
         const Duration wait = scaled(rate.waitBehind(ahead), 1.0 / (1.0 - std::min(urgent, mostUrgentShare)));
-        out.push_back({pool, rank, wait, rate.perPiece(), load.items(), taken});
+        out.push_back({pool, rank, wait, rate.timePerPiece(), load.itemsPerCall(), taken});
     }
     return out;
 }
@@ -745,7 +747,7 @@
         return;
     }
     const double ratio = static_cast<double>((now - call.started).count()) / static_cast<double>(call.expected.count());
-    serving::noteSpeed(*endpoint, ratio, now);
+    serving::updateSlowness(*endpoint, ratio, now);
 }
 
 } // namespace bergamottide::serving
