--- a/src/bergamottide/serving/endpointboard.cpp
+++ b/src/bergamottide/serving/endpointboard.cpp
@@ -10,20 +10,20 @@
 
 namespace {
 
-/*! @brief Weight of the newest sign in the moving average: five failures in a row lift it from 0 to 0.67. */
-constexpr double failureWeight = 0.2;
-/*! @brief Share of failures below which an endpoint is never ejected: some requests fail anywhere. */
-constexpr double leastFailureShare = 0.3;
-/*! @brief Distance from the others of the pool above which an endpoint is ejected. */
-constexpr double failureDistance = 0.25;
-/*! @brief Signs before the share is trusted. */
-constexpr std::uint32_t trustedSamples = 4;
-/*! @brief First time out after a failure; doubles to the longest. A trial costs one request, hence not shorter. */
+/*! @brief Weight of the latest sample in the failure rate. */
+constexpr double failureRateWeight = 0.2;
+/*! @brief Failure rate below which an endpoint is never ejected, as some requests fail at any endpoint. */
+constexpr double minEjectionFailureRate = 0.3;
+/*! @brief Excess over the mean failure rate of the other endpoints of the pool that leads to an ejection. */
+constexpr double minExcessFailureRate = 0.25;
+/*! @brief Samples needed before an endpoint may be ejected. */
+constexpr std::uint32_t minSamples = 4;
+/*! @brief Duration of the first ejection; doubles up to the maximum. Each readmission may cost a request. */
 constexpr Duration firstEjection = std::chrono::milliseconds{1000};
-constexpr Duration longestEjection = std::chrono::milliseconds{4000};
-constexpr std::uint32_t mostDoublings = 2;
-/*! @brief Share of failures that an endpoint returns with: one failure of its trial sends it out again. */
-constexpr double returnShare = 0.25;
+constexpr Duration maxEjection = std::chrono::milliseconds{4000};
+constexpr std::uint32_t maxEjectionDoublings = 2;
+/*! @brief Failure rate after an ejection; one more failure is enough for the next one. */
+constexpr double readmissionFailureRate = 0.25;
 
 void log(Effects &effects, std::string text, const Endpoint &endpoint, std::string reason)
 {
@@ -46,46 +46,46 @@
         const auto [found, isNew] = m_endpoints.try_emplace(record.instance);
         Endpoint &endpoint = found->second;
         if (!isNew && endpoint.record.incarnation != record.incarnation) {
-            restart(endpoint, now, effects);
+            resetState(endpoint, now, effects);
         }
         if (isNew) {
             endpoint.record = record;
-            log(effects, "An endpoint is listed.", endpoint, record.draining ? "draining" : "ready");
+            log(effects, "Endpoint listed.", endpoint, record.draining ? "draining" : "ready");
         }
-        takeRecord(endpoint, record, now, effects);
+        applyRecord(endpoint, record, now, effects);
     }
     for (auto next = m_endpoints.begin(); next != m_endpoints.end();) {
         const auto present = next++;
-        if (listed.contains(present->first) || present->second.gone) {
+        if (listed.contains(present->first) || present->second.isUnlisted) {
             continue;
         }
-        present->second.gone = true;
-        log(effects, "An endpoint is no longer listed.", present->second, "gone");
-        forgetIfIdle(present->first);
+        present->second.isUnlisted = true;
+        log(effects, "Endpoint no longer listed.", present->second, "removed from the list");
+        removeIfIdle(present->first);
     }
     indexPools();
 }
 
-/*! @brief Takes what is listed of an endpoint that is known. */
-void EndpointBoard::takeRecord(Endpoint &endpoint, const EndpointRecord &record, TimePoint now, Effects &effects)
+/*! @brief Applies the listed state to a known endpoint. */
+void EndpointBoard::applyRecord(Endpoint &endpoint, const EndpointRecord &record, TimePoint now, Effects &effects)
 {
     const EndpointRecord before = std::exchange(endpoint.record, record);
-    endpoint.gone = false;
+    endpoint.isUnlisted = false;
     if (record.draining && !before.draining) {
-        log(effects, "An endpoint takes no new work.", endpoint, "draining");
+        log(effects, "Endpoint accepts no new work.", endpoint, "draining");
     }
     if (record.isEvacuated && !before.isEvacuated) {
-        log(effects, "An endpoint takes no new work.", endpoint, "its zone is evacuated");
+        log(effects, "Endpoint accepts no new work.", endpoint, "zone evacuated");
     }
     if (before.isEvacuated && !record.isEvacuated) {
-        // Endpoints may have been restarted meanwhile, and what is listed of that may be seconds old.
-        endpoint.mayHaveStartedAt = now;
-        log(effects, "An endpoint takes work again.", endpoint, "its zone is restored");
+        // The list may lag behind by seconds, so a restart during the evacuation may not show yet.
+        endpoint.possibleRestartAt = now;
+        log(effects, "Endpoint accepts new work again.", endpoint, "zone restored");
     }
     if (record.coldUntil > endpoint.coldUntil) {
         if (endpoint.coldUntil <= now) {
-            log(effects, "An endpoint is cold.", endpoint,
-                absl::StrCat("ms ", (record.coldUntil - now).count() / 1000));
+            log(effects, "Endpoint is cold.", endpoint,
+                absl::StrCat("warm in ", (record.coldUntil - now).count() / 1000, " ms"));
         }
         endpoint.coldUntil = record.coldUntil;
     }
@@ -99,21 +99,21 @@
     }
 }
 
-const std::vector<Endpoint *> &EndpointBoard::ofPool(const PoolName &pool) const
+const std::vector<Endpoint *> &EndpointBoard::endpointsOf(const PoolName &pool) const
 {
     static const std::vector<Endpoint *> none;
     const auto found = m_pools.find(pool);
     return found == m_pools.end() ? none : found->second;
 }
 
-/*! @brief Forgets what was believed of an endpoint that has started anew; work in progress there ends by itself. */
-void EndpointBoard::restart(Endpoint &endpoint, TimePoint now, Effects &effects)
+/*! @brief Resets the state of a restarted endpoint; work in progress there still ends through the usual events. */
+void EndpointBoard::resetState(Endpoint &endpoint, TimePoint now, Effects &effects)
 {
     const std::uint32_t inFlight = endpoint.inFlight;
     endpoint = Endpoint{.record = endpoint.record, .inFlight = inFlight};
     endpoint.record.draining = false;
-    endpoint.mayHaveStartedAt = now;
-    log(effects, "An endpoint has started anew.", endpoint, "another incarnation");
+    endpoint.possibleRestartAt = now;
+    log(effects, "Endpoint restarted.", endpoint, "new incarnation");
 }
 
 Endpoint *EndpointBoard::find(const InstanceName &instance)
@@ -124,25 +124,25 @@
 
 std::vector<Endpoint *> EndpointBoard::usable(const PoolName &pool, TimePoint now) const
 {
-    const std::vector<Endpoint *> &listed = ofPool(pool);
-    std::vector<Endpoint *> good;
+    const std::vector<Endpoint *> &candidates = endpointsOf(pool);
+    std::vector<Endpoint *> healthy;
     std::vector<Endpoint *> all;
-    good.reserve(listed.size());
-    for (Endpoint *endpoint : listed) {
+    healthy.reserve(candidates.size());
+    for (Endpoint *endpoint : candidates) {
         if (!endpoint->takesWork()) {
             continue;
         }
         all.push_back(endpoint);
         if (endpoint->ejectedUntil <= now) {
-            good.push_back(endpoint);
+            healthy.push_back(endpoint);
         }
     }
-    return good.empty() ? all : good;
+    return healthy.empty() ? all : healthy;
 }
 
 bool EndpointBoard::serves(const PoolName &pool) const
 {
-    return std::ranges::any_of(ofPool(pool), &Endpoint::takesWork);
+    return std::ranges::any_of(endpointsOf(pool), &Endpoint::takesWork);
 }
 
 void EndpointBoard::started(const InstanceName &instance)
@@ -152,7 +152,7 @@
     }
 }
 
-void EndpointBoard::ended(const InstanceName &instance, std::optional<EndpointSign> sign, TimePoint now,
+void EndpointBoard::ended(const InstanceName &instance, std::optional<EndpointSign> outcome, TimePoint now,
                           Effects &effects)
 {
     Endpoint *endpoint = find(instance);
@@ -160,35 +160,35 @@
         return;
     }
     endpoint->inFlight -= endpoint->inFlight > 0 ? 1 : 0;
-    if (sign && *sign != EndpointSign::Rejected) {
-        const double failed = *sign == EndpointSign::Good ? 0.0 : 1.0;
-        endpoint->failureShare += failureWeight * (failed - endpoint->failureShare);
-        endpoint->samples = std::min(endpoint->samples + 1, trustedSamples);
-        if (*sign == EndpointSign::Good) {
-            endpoint->ejections = 0;
+    if (outcome && *outcome != EndpointSign::Rejected) {
+        const double failed = *outcome == EndpointSign::Good ? 0.0 : 1.0;
+        endpoint->failureRate += failureRateWeight * (failed - endpoint->failureRate);
+        endpoint->sampleCount = std::min(endpoint->sampleCount + 1, minSamples);
+        if (*outcome == EndpointSign::Good) {
+            endpoint->consecutiveEjections = 0;
         }
-        if (*sign == EndpointSign::Unreached) {
-            // If it is being restarted, that shows in the list seconds after it takes work again.
-            endpoint->mayHaveStartedAt = now + firstEjection;
-            endpoint->failureShare = std::max(endpoint->failureShare, leastFailureShare + failureDistance);
-            endpoint->samples = trustedSamples;
+        if (*outcome == EndpointSign::Unreached) {
+            // A restart shows in the list only seconds after the endpoint accepts work again.
+            endpoint->possibleRestartAt = now + firstEjection;
+            endpoint->failureRate = std::max(endpoint->failureRate, minEjectionFailureRate + minExcessFailureRate);
+            endpoint->sampleCount = minSamples;
         }
-        judge(*endpoint, now, effects);
+        ejectIfFailing(*endpoint, now, effects);
     }
-    forgetIfIdle(instance);
+    removeIfIdle(instance);
 }
 
 void EndpointBoard::answered(const InstanceName &instance, TimePoint now)
 {
     if (Endpoint *endpoint = find(instance); endpoint != nullptr) {
-        endpoint->answeredAt = now;
+        endpoint->lastResponseAt = now;
     }
 }
 
-void EndpointBoard::toldCold(const InstanceName &instance, Duration left, TimePoint now)
+void EndpointBoard::toldCold(const InstanceName &instance, Duration remaining, TimePoint now)
 {
     if (Endpoint *endpoint = find(instance); endpoint != nullptr) {
-        endpoint->coldUntil = std::max(endpoint->coldUntil, now + left);
+        endpoint->coldUntil = std::max(endpoint->coldUntil, now + remaining);
     }
 }
 
@@ -198,20 +198,20 @@
     if (endpoint == nullptr) {
         return;
     }
-    endpoint->failureShare += failureWeight * (1.0 - endpoint->failureShare);
-    endpoint->samples = std::min(endpoint->samples + 1, trustedSamples);
-    if (endpoint->answeredAt < since) {
-        endpoint->failureShare = std::max(endpoint->failureShare, leastFailureShare + failureDistance);
-        endpoint->samples = trustedSamples;
+    endpoint->failureRate += failureRateWeight * (1.0 - endpoint->failureRate);
+    endpoint->sampleCount = std::min(endpoint->sampleCount + 1, minSamples);
+    if (endpoint->lastResponseAt < since) {
+        endpoint->failureRate = std::max(endpoint->failureRate, minEjectionFailureRate + minExcessFailureRate);
+        endpoint->sampleCount = minSamples;
     }
-    judge(*endpoint, now, effects);
+    ejectIfFailing(*endpoint, now, effects);
 }
 
 void EndpointBoard::told(const InstanceName &instance, const EndpointLoad &load, TimePoint now)
 {
     if (Endpoint *endpoint = find(instance); endpoint != nullptr) {
         endpoint->load = load;
-        endpoint->loadAt = now;
+        endpoint->loadUpdatedAt = now;
     }
 }
 
@@ -219,7 +219,7 @@
 {
     std::vector<EndpointRecord> out;
     for (const auto &[instance, endpoint] : m_endpoints) {
-        if (!endpoint.gone) {
+        if (!endpoint.isUnlisted) {
             out.push_back(endpoint.record);
         }
     }
@@ -231,46 +231,47 @@
     return m_endpoints.size();
 }
 
-void EndpointBoard::judge(Endpoint &endpoint, TimePoint now, Effects &effects)
+void EndpointBoard::ejectIfFailing(Endpoint &endpoint, TimePoint now, Effects &effects)
 {
-    if (endpoint.samples < trustedSamples || endpoint.ejectedUntil > now || endpoint.failureShare < leastFailureShare) {
+    if (endpoint.sampleCount < minSamples || endpoint.ejectedUntil > now
+        || endpoint.failureRate < minEjectionFailureRate) {
         return;
     }
-    const double others = failureShareOfOthers(endpoint);
-    if (endpoint.failureShare < others + failureDistance) {
+    const double othersRate = meanFailureRateOfOthers(endpoint);
+    if (endpoint.failureRate < othersRate + minExcessFailureRate) {
         return;
     }
     const Duration pause =
-        std::min(firstEjection * (1U << std::min(endpoint.ejections, mostDoublings)), longestEjection);
-    log(effects, "An endpoint is left out for a while.", endpoint,
-        absl::StrCat("failure share ", endpoint.failureShare, " against ", others, " of the others; ms ",
-                     pause.count() / 1000));
+        std::min(firstEjection * (1U << std::min(endpoint.consecutiveEjections, maxEjectionDoublings)), maxEjection);
+    log(effects, "Endpoint ejected.", endpoint,
+        absl::StrCat("failure rate ", endpoint.failureRate, ", mean of the other endpoints ", othersRate,
+                     "; ejected for ", pause.count() / 1000, " ms"));
     endpoint.ejectedUntil = now + pause;
-    endpoint.failureShare = returnShare;
-    ++endpoint.ejections;
+    endpoint.failureRate = readmissionFailureRate;
+    ++endpoint.consecutiveEjections;
 }
 
-void EndpointBoard::forgetIfIdle(const InstanceName &instance)
+void EndpointBoard::removeIfIdle(const InstanceName &instance)
 {
     const auto found = m_endpoints.find(instance);
-    if (found != m_endpoints.end() && found->second.gone && found->second.inFlight == 0) {
+    if (found != m_endpoints.end() && found->second.isUnlisted && found->second.inFlight == 0) {
         std::erase(m_pools[found->second.record.pool], &found->second);
         m_endpoints.erase(found);
     }
 }
 
-double EndpointBoard::failureShareOfOthers(const Endpoint &endpoint) const
+double EndpointBoard::meanFailureRateOfOthers(const Endpoint &endpoint) const
 {
     double sum = 0.0;
     std::uint32_t count = 0;
-    for (const Endpoint *other : ofPool(endpoint.record.pool)) {
+    for (const Endpoint *other : endpointsOf(endpoint.record.pool)) {
         if (other == &endpoint || !other->takesWork()) {
             continue;
         }
-        sum += other->failureShare;
+        sum += other->failureRate;
         ++count;
     }
-    // Without others to compare with, nothing is gained by an ejection.
+    // Without other endpoints in the pool there is nothing to fall back to, so none is ejected.
     return count == 0 ? 1.0 : sum / count;
 }
 
--- a/src/bergamottide/serving/endpointboard.h
+++ b/src/bergamottide/serving/endpointboard.h
@@ -12,152 +12,152 @@
 
 namespace bergamottide::serving {
 
-/*! @brief What one finished piece of work says of its endpoint. */
+/*! @brief Outcome of a run or call, as far as it tells of the health of its endpoint. */
 enum class EndpointSign : std::uint8_t
 {
-    /*! @brief It answered as it should. */
+    /*! @brief The endpoint answered correctly. */
     Good,
-    /*! @brief It took no work: full or leaving. */
+    /*! @brief The endpoint refused the work since it is full or draining. */
     Rejected,
-    /*! @brief It answered with a failure of its own or broke off. */
+    /*! @brief The endpoint answered with an error of its own, or the connection broke. */
     Failed,
-    /*! @brief No connection came about. */
+    /*! @brief No connection could be established. */
     Unreached
 };
 
-/*! @brief An endpoint and what this process believes of it. */
+/*! @brief An endpoint with its load and health as seen by this process. */
 struct Endpoint
 {
     EndpointRecord record;
-    /*! @brief No longer listed; kept while work is in progress there. */
-    bool gone{};
-    /*! @brief Runs and stage calls in progress from this process. */
+    /*! @brief Whether the platform no longer lists it; kept until its work in progress has ended. */
+    bool isUnlisted{};
+    /*! @brief Runs and stage calls of this process in progress there. */
     std::uint32_t inFlight{};
-    /*! @brief Load it told last, and when. */
+    /*! @brief Load that it reported last, and when. */
     EndpointLoad load;
-    TimePoint loadAt{};
-    /*! @brief When it last answered anything. */
-    TimePoint answeredAt{};
-    /*! @brief Share of recent work that failed, as a moving average from 0 to 1. */
-    double failureShare{};
-    /*! @brief Pieces of work behind the share, up to the number at which it is trusted. */
-    std::uint32_t samples{};
-    /*! @brief Not used before this time unless all others are out as well. */
+    TimePoint loadUpdatedAt{};
+    /*! @brief Time of its latest answer to any run or call. */
+    TimePoint lastResponseAt{};
+    /*! @brief Share of failed work, as a moving average from 0 to 1. */
+    double failureRate{};
+    /*! @brief Samples behind the failure rate, counted up to the number needed for an ejection. */
+    std::uint32_t sampleCount{};
+    /*! @brief Not used before this time, unless all endpoints of the pool are ejected. */
     TimePoint ejectedUntil{};
-    /*! @brief Times it was ejected without a good sign in between. */
-    std::uint32_t ejections{};
-    /*! @brief Measured over expected time of stage calls, as a moving average; 1 is as expected. */
+    /*! @brief Number of ejections since its last success. */
+    std::uint32_t consecutiveEjections{};
+    /*! @brief Ratio of measured to expected duration of stage calls, as a moving average. */
     double slowness{1.0};
-    TimePoint slownessAt{};
-    /*! @brief When a stage call ended there and it told no work of others; the epoch if it told some. */
-    TimePoint aloneAt{};
-    /*! @brief Gets no stage call before this time. */
+    TimePoint slownessUpdatedAt{};
+    /*! @brief When it last reported no work of other processes; the epoch if the latest report shows some. */
+    TimePoint exclusiveAt{};
+    /*! @brief Stage calls are not sent before this time. */
     TimePoint pausedUntil{};
-    /*! @brief When it is warm, as far as the platform or itself told. */
+    /*! @brief When it is warm, as reported by the platform or the endpoint. */
     TimePoint coldUntil{};
-    /*! @brief Latest time at which it may have started anew without telling: its zone was restored, or no connection to
-     * it came about; the epoch if there is none. */
-    TimePoint mayHaveStartedAt{};
-    /*! @brief When it was sent its last requests, as far as they count for the bound on cold endpoints. */
-    std::vector<TimePoint> sentAt;
-    /*! @brief Bytes of results that are in its memory or being made, as far as they were asked for here. */
+    /*! @brief Latest time of a possible restart: its zone was restored, or it could not be reached; the epoch if there
+     * is none. */
+    TimePoint possibleRestartAt{};
+    /*! @brief When requests were sent to it, within the window of the limit on cold endpoints. */
+    std::vector<TimePoint> recentSendTimes;
+    /*! @brief Memory in use or reserved for results that this process requested, in bytes. */
     std::uint64_t resultBytes{};
-    /*! @brief Bytes of results there that another scheduler has had made. */
-    std::uint64_t otherBytes{};
+    /*! @brief Memory of results that other schedulers requested, in bytes. */
+    std::uint64_t otherSchedulersBytes{};
 
-    /*! @brief Returns the bytes of results that are in its memory or being made. */
+    /*! @brief Returns the result memory in use or reserved, in bytes. */
     [[nodiscard]] std::uint64_t takenBytes() const noexcept
     {
-        return resultBytes + otherBytes;
+        return resultBytes + otherSchedulersBytes;
     }
 
+    /*! @brief Tells whether new work may be sent to it; ejections are not considered. */
     [[nodiscard]] bool takesWork() const noexcept
     {
-        return !gone && record.takesWork();
+        return !isUnlisted && record.takesWork();
     }
 };
 
 /**
- * @brief Endpoints of all pools, what they told of their load, and which of them are left out for a while.
+ * @brief Endpoints of all pools with their load, and outlier ejection.
  *
- * Made for endpoints that fail part of their work while they look healthy, that crash, or that are cut off: work goes
- * elsewhere after few failures, and a trial follows after a pause that grows. An endpoint is ejected only in comparison
- * with its pool, so that a failure of all of them ejects none.
+ * An endpoint whose failure rate exceeds that of the rest of its pool is ejected for a period that doubles with each
+ * ejection up to a limit. As the pool is the reference, a failure of all its endpoints ejects none of them.
  */
 class EndpointBoard
 {
 public:
     /**
-     * @brief Takes over the platform's list.
-     * @param list All endpoints listed.
-     * @param now Present time.
+     * @brief Replaces the list of endpoints.
+     * @param list All endpoints that the platform lists.
+     * @param now Current time.
      * @param effects Receives a log line for each change.
      */
     void update(const EndpointList &list, TimePoint now, Effects &effects);
 
-    /*! @brief Returns an endpoint, or null. */
+    /*! @brief Returns an endpoint, or null if it is unknown. */
     [[nodiscard]] Endpoint *find(const InstanceName &instance);
 
     /**
-     * @brief Returns the endpoints of a pool that take work and are not ejected; the ejected ones if all are.
+     * @brief Returns the endpoints of a pool that accept work and are not ejected, or the ejected ones if all are.
      * @param pool Pool.
-     * @param now Present time.
+     * @param now Current time.
      */
     [[nodiscard]] std::vector<Endpoint *> usable(const PoolName &pool, TimePoint now) const;
 
-    /*! @brief Tells if any endpoint of a pool takes work. */
+    /*! @brief Tells whether any endpoint of a pool accepts work. */
     [[nodiscard]] bool serves(const PoolName &pool) const;
 
     /**
-     * @brief Notes work that begins at an endpoint.
+     * @brief Records the start of a run or call.
      * @param instance Endpoint.
      */
     void started(const InstanceName &instance);
 
     /**
-     * @brief Notes work that has ended at an endpoint.
+     * @brief Records the end of a run or call, and ejects the endpoint if it fails too often.
      * @param instance Endpoint.
-     * @param sign What the end says of it; nothing if the work was cancelled.
-     * @param now Present time.
-     * @param effects Receives a log line for an ejection or a return.
+     * @param outcome Outcome; nothing if the work was cancelled.
+     * @param now Current time.
+     * @param effects Receives a log line for an ejection.
      */
-    void ended(const InstanceName &instance, std::optional<EndpointSign> sign, TimePoint now, Effects &effects);
+    void ended(const InstanceName &instance, std::optional<EndpointSign> outcome, TimePoint now, Effects &effects);
 
-    /*! @brief Notes that an endpoint has begun to answer something. */
+    /*! @brief Records that an endpoint has begun to answer. */
     void answered(const InstanceName &instance, TimePoint now);
 
     /**
-     * @brief Notes work that an endpoint has not begun to answer for much longer than is typical.
+     * @brief Counts a timeout as a failure; an endpoint without any answer since the start may be ejected at once.
      * @param instance Endpoint.
-     * @param since When the work was sent; an endpoint that has answered nothing since is taken as silent altogether.
-     * @param now Present time.
+     * @param since When the work that timed out was sent.
+     * @param now Current time.
      * @param effects Receives a log line for an ejection.
      */
     void suspect(const InstanceName &instance, TimePoint since, TimePoint now, Effects &effects);
 
-    /*! @brief Notes that an endpoint told that it stays cold for a while. */
-    void toldCold(const InstanceName &instance, Duration left, TimePoint now);
+    /*! @brief Records how much longer an endpoint will be cold, as it reported. */
+    void toldCold(const InstanceName &instance, Duration remaining, TimePoint now);
 
-    /*! @brief Notes the load that an endpoint told. */
+    /*! @brief Records the load that an endpoint reported. */
     void told(const InstanceName &instance, const EndpointLoad &load, TimePoint now);
 
-    /*! @brief Returns the endpoints that are listed. */
+    /*! @brief Returns the records of the listed endpoints. */
     [[nodiscard]] std::vector<EndpointRecord> records() const;
 
-    /*! @brief Returns the number of endpoints listed. */
+    /*! @brief Returns the number of endpoints, including unlisted ones with work in progress. */
     [[nodiscard]] std::size_t size() const noexcept;
 
 private:
-    static void restart(Endpoint &endpoint, TimePoint now, Effects &effects);
-    static void takeRecord(Endpoint &endpoint, const EndpointRecord &record, TimePoint now, Effects &effects);
-    void judge(Endpoint &endpoint, TimePoint now, Effects &effects);
-    void forgetIfIdle(const InstanceName &instance);
+    static void resetState(Endpoint &endpoint, TimePoint now, Effects &effects);
+    static void applyRecord(Endpoint &endpoint, const EndpointRecord &record, TimePoint now, Effects &effects);
+    void ejectIfFailing(Endpoint &endpoint, TimePoint now, Effects &effects);
+    void removeIfIdle(const InstanceName &instance);
     void indexPools();
-    [[nodiscard]] const std::vector<Endpoint *> &ofPool(const PoolName &pool) const;
-    [[nodiscard]] double failureShareOfOthers(const Endpoint &endpoint) const;
+    [[nodiscard]] const std::vector<Endpoint *> &endpointsOf(const PoolName &pool) const;
+    [[nodiscard]] double meanFailureRateOfOthers(const Endpoint &endpoint) const;
 
     std::map<InstanceName, Endpoint> m_endpoints;
-    /*! @brief Endpoints of each pool, by name: a decision on one pool does not look at those of the others. */
+    /*! @brief Index of the endpoints by pool. */
     std::map<PoolName, std::vector<Endpoint *>> m_pools;
 };
 
--- a/src/bergamottide/serving/endpointspeed.cpp
+++ b/src/bergamottide/serving/endpointspeed.cpp
@@ -17,7 +17,7 @@
 
 double currentSlowness(const Endpoint &endpoint, TimePoint now)
 {
-    const double age = std::chrono::duration<double>(now - endpoint.slownessAt).count();
+    const double age = std::chrono::duration<double>(now - endpoint.slownessUpdatedAt).count();
     return 1.0 + (endpoint.slowness - 1.0) * std::exp(-age / slownessDecaySeconds);
 }
 
@@ -34,7 +34,7 @@
 {
     const double current = currentSlowness(endpoint, now);
     endpoint.slowness = current + slownessWeight * (ratio - current);
-    endpoint.slownessAt = now;
+    endpoint.slownessUpdatedAt = now;
 }
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/resultroom.cpp
+++ b/src/bergamottide/serving/resultroom.cpp
@@ -86,8 +86,9 @@
         if (endpoint == nullptr) {
             continue;
         }
-        endpoint->otherBytes =
-            add ? endpoint->otherBytes + held.bytes : endpoint->otherBytes - std::min(endpoint->otherBytes, held.bytes);
+        endpoint->otherSchedulersBytes = add
+            ? endpoint->otherSchedulersBytes + held.bytes
+            : endpoint->otherSchedulersBytes - std::min(endpoint->otherSchedulersBytes, held.bytes);
     }
 }
 
--- a/src/bergamottide/serving/stagescheduler.cpp
+++ b/src/bergamottide/serving/stagescheduler.cpp
@@ -309,7 +309,7 @@
         std::erase(pending.waiting, item.piece);
         if (pending.waiting.empty()) {
             queue.erase(orderOf(pending));
-            if (now - endpoint.aloneAt < aloneMemory) {
+            if (now - endpoint.exclusiveAt < aloneMemory) {
                 pending.fetchedAt = now + fetchTime(*pool.batch, task) * fetchTimeFactor + fetchAllowance;
                 m_fetches.emplace(*pending.fetchedAt, task.id);
             }
@@ -471,7 +471,7 @@
         return;
     }
     const bool isShared = load && load->running + load->waiting > endpoint->inFlight;
-    endpoint->aloneAt = isShared ? TimePoint{} : now;
+    endpoint->exclusiveAt = isShared ? TimePoint{} : now;
 }
 
 RoomShare StageScheduler::shareOf(const Call &call, const CallItem &item)
--- a/src/bergamottide/serving/warmuplimiter.cpp
+++ b/src/bergamottide/serving/warmuplimiter.cpp
@@ -7,28 +7,27 @@
 
 namespace {
 
-/*! @brief Window in which a cold endpoint gets what it bears in a second: requests that were sent further apart than a
- * second may still arrive within one. */
-constexpr Duration window = std::chrono::milliseconds{1250};
+/*! @brief Window for the limit per second; longer than a second, as network delays may bunch requests together. */
+constexpr Duration sendWindow = std::chrono::milliseconds{1250};
 
-std::uint32_t sentWithin(const Endpoint &endpoint, TimePoint now)
+std::uint32_t sentInWindow(const Endpoint &endpoint, TimePoint now)
 {
     return static_cast<std::uint32_t>(
-        std::ranges::count_if(endpoint.sentAt, [now](TimePoint at) { return now - at < window; }));
+        std::ranges::count_if(endpoint.recentSendTimes, [now](TimePoint at) { return now - at < sendWindow; }));
 }
 
 } // namespace
 
-WarmupLimiter::WarmupLimiter(ShareOf shareOf)
-    : m_shareOf{std::move(shareOf)}
+WarmupLimiter::WarmupLimiter(QuotaFunction quotaOf)
+    : m_quotaOf{std::move(quotaOf)}
 {
 }
 
 bool WarmupLimiter::isCold(const WarmupSpec &warmup, const Endpoint &endpoint, TimePoint now)
 {
-    const bool mayHaveStarted =
-        endpoint.mayHaveStartedAt != TimePoint{} && now < endpoint.mayHaveStartedAt + warmup.time;
-    return mayHaveStarted || now < endpoint.coldUntil;
+    const bool mayHaveRestarted =
+        endpoint.possibleRestartAt != TimePoint{} && now < endpoint.possibleRestartAt + warmup.time;
+    return mayHaveRestarted || now < endpoint.coldUntil;
 }
 
 bool WarmupLimiter::admits(const Pool &pool, const Endpoint &endpoint, TimePoint now) const
@@ -37,9 +36,9 @@
         return true;
     }
     const auto requests = static_cast<std::uint32_t>(std::max(pool.warmup->perSecond, 1.0));
-    // Calls of a stage pool all come from the owner of its queue.
-    const std::uint32_t share = pool.batch ? requests : m_shareOf(endpoint.record.instance, requests, now);
-    return sentWithin(endpoint, now) < share;
+    // All calls to a stage pool come from the process that owns its queue.
+    const std::uint32_t quota = pool.batch ? requests : m_quotaOf(endpoint.record.instance, requests, now);
+    return sentInWindow(endpoint, now) < quota;
 }
 
 void WarmupLimiter::noteSent(const Pool &pool, Endpoint &endpoint, TimePoint now)
@@ -47,8 +46,8 @@
     if (!pool.warmup) {
         return;
     }
-    std::erase_if(endpoint.sentAt, [now](TimePoint at) { return now - at >= window; });
-    endpoint.sentAt.push_back(now);
+    std::erase_if(endpoint.recentSendTimes, [now](TimePoint at) { return now - at >= sendWindow; });
+    endpoint.recentSendTimes.push_back(now);
 }
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/warmuplimiter.h
+++ b/src/bergamottide/serving/warmuplimiter.h
@@ -11,50 +11,50 @@
 namespace bergamottide::serving {
 
 /**
- * @brief Bounds the requests that a cold endpoint gets from the whole fleet.
+ * @brief Limits the rate of requests that all processes together send to a cold endpoint.
  *
- * Made for endpoints that have just started, which placement prefers since they are idle: sent there by every process
- * at once, a burst crashes them again. The requests that a cold endpoint bears in a window are dealt among the
- * processes, and each process keeps to its share; processes that hold no share of an endpoint send it nothing until it
- * is warm.
+ * Placement prefers idle endpoints, so a burst from all processes at once would crash an endpoint that has just
+ * started. The requests that a cold endpoint can take are divided among the processes; a process with a quota of zero
+ * sends it nothing until it is warm.
  */
 class WarmupLimiter
 {
 public:
     /**
-     * @brief Deals the requests of a window among the processes, and returns the share of this one.
+     * @brief Returns the quota of this process.
      *
-     * Arguments are the endpoint, the number of requests and the present time.
+     * Arguments are the endpoint, the number of requests that all processes may send to it, and the current time.
      */
-    using ShareOf = std::function<std::uint32_t(const InstanceName &endpoint, std::uint32_t requests, TimePoint now)>;
+    using QuotaFunction =
+        std::function<std::uint32_t(const InstanceName &endpoint, std::uint32_t requests, TimePoint now)>;
 
     /**
      * @brief Creates a limiter.
-     * @param shareOf Share of this process in an endpoint's requests.
+     * @param quotaOf Returns how many of an endpoint's requests this process may send.
      */
-    explicit WarmupLimiter(ShareOf shareOf);
+    explicit WarmupLimiter(QuotaFunction quotaOf);
 
     /**
-     * @brief Tells if an endpoint may be sent one more request now.
-     * @param pool Its pool.
+     * @brief Tells whether one more request may be sent to an endpoint.
+     * @param pool Pool of the endpoint.
      * @param endpoint Endpoint.
-     * @param now Present time.
+     * @param now Current time.
      */
     [[nodiscard]] bool admits(const Pool &pool, const Endpoint &endpoint, TimePoint now) const;
 
     /**
-     * @brief Notes a request that is sent to an endpoint, cold or not: one that turns cold has already got it.
-     * @param pool Its pool.
+     * @brief Records a request sent to an endpoint; warm endpoints count too, as they may turn out to be cold.
+     * @param pool Pool of the endpoint.
      * @param endpoint Endpoint.
-     * @param now Present time.
+     * @param now Current time.
      */
     static void noteSent(const Pool &pool, Endpoint &endpoint, TimePoint now);
 
-    /*! @brief Tells if an endpoint is cold, or has to be taken for cold. */
+    /*! @brief Tells whether an endpoint is cold or may have restarted recently. */
     [[nodiscard]] static bool isCold(const WarmupSpec &warmup, const Endpoint &endpoint, TimePoint now);
 
 private:
-    ShareOf m_shareOf;
+    QuotaFunction m_quotaOf;
 };
 
 } // namespace bergamottide::serving
