--- a/src/bergamottide/serving/callplanner.cpp
+++ b/src/bergamottide/serving/callplanner.cpp
@@ -9,11 +9,10 @@
 
 namespace {
 
-/*! @brief Share of a full call, or of all that waits, below which a call waits for room at its endpoint. */
-constexpr double leastFill = 0.6;
-/*! @brief Share of the room that results of late requests may take: they wait longest, and would keep it from the
- * others. */
-constexpr double lateRoomShare = 0.75;
+/*! @brief Minimum share of the items wanted for a call, unless no result memory is in use at its endpoint. */
+constexpr double minFillRatio = 0.6;
+/*! @brief Share of the result memory that may be in use when results of late requests are added; they stay longest. */
+constexpr double lateMemoryShare = 0.75;
 
 } // namespace
 
@@ -26,40 +25,42 @@
 {
 }
 
-std::optional<PlannedCall> CallPlanner::next(const Pool &pool, const StageQueue &queue, TimePoint now) const
+std::optional<PlannedCall> CallPlanner::nextCall(const Pool &pool, const StageQueue &queue, TimePoint now) const
 {
-    std::set<ZoneName> zones;
+    std::set<ZoneName> poolZones;
     for (const Endpoint *endpoint : m_endpoints.usable(pool.name, now)) {
-        zones.insert(endpoint->record.zone);
+        poolZones.insert(endpoint->record.zone);
     }
-    Endpoint *best = nullptr;
-    CallChoice chosen;
-    for (Endpoint *endpoint : freeEndpoints(pool, now)) {
-        CallChoice choice = choose(pool, *endpoint, queue, zones, now);
-        if (!choice.items.empty() && (best == nullptr || isBetter(choice, *endpoint, chosen, *best, now))) {
-            best = endpoint;
-            chosen = std::move(choice);
+    Endpoint *bestEndpoint = nullptr;
+    CallCandidate best;
+    for (Endpoint *endpoint : availableEndpoints(pool, now)) {
+        CallCandidate candidate = fillCall(pool, *endpoint, queue, poolZones, now);
+        if (!candidate.items.empty()
+            && (bestEndpoint == nullptr || isBetter(candidate, *endpoint, best, *bestEndpoint, now))) {
+            bestEndpoint = endpoint;
+            best = std::move(candidate);
         }
     }
-    if (best == nullptr) {
+    if (bestEndpoint == nullptr) {
         return std::nullopt;
     }
-    const std::size_t wanted = std::min<std::size_t>(waitingPieces(queue, m_tasks), pool.batch->batch);
-    // Room comes back with every result that is used; a call that carries little would keep the endpoint from it.
-    if (best->takenBytes() != 0 && static_cast<double>(chosen.items.size()) < leastFill * static_cast<double>(wanted)) {
+    const std::size_t wanted = std::min<std::size_t>(countWaitingPieces(queue, m_tasks), pool.batch->batch);
+    // Used results free memory soon; a small call would occupy the endpoint meanwhile.
+    if (bestEndpoint->takenBytes() != 0
+        && static_cast<double>(best.items.size()) < minFillRatio * static_cast<double>(wanted)) {
         return std::nullopt;
     }
-    return PlannedCall{best, std::move(chosen.items)};
+    return PlannedCall{bestEndpoint, std::move(best.items)};
 }
 
-std::vector<Endpoint *> CallPlanner::freeEndpoints(const Pool &pool, TimePoint now) const
+std::vector<Endpoint *> CallPlanner::availableEndpoints(const Pool &pool, TimePoint now) const
 {
     const std::vector<Endpoint *> usable = m_endpoints.usable(pool.name, now);
-    const double fastest = minSlowness(usable, now);
+    const double lowestSlowness = minSlowness(usable, now);
     std::vector<Endpoint *> out;
     for (Endpoint *endpoint : usable) {
-        const bool slow = currentSlowness(*endpoint, now) > fastest * maxRelativeSlowness;
-        if (endpoint->inFlight < pool.batch->slots && endpoint->pausedUntil <= now && !slow
+        const bool isSlow = currentSlowness(*endpoint, now) > lowestSlowness * maxRelativeSlowness;
+        if (endpoint->inFlight < pool.batch->slots && endpoint->pausedUntil <= now && !isSlow
             && m_warmup.admits(pool, *endpoint, now)) {
             out.push_back(endpoint);
         }
@@ -67,74 +68,75 @@
     return out;
 }
 
-bool CallPlanner::isBetter(const CallChoice &one, const Endpoint &endpoint, const CallChoice &other,
-                           const Endpoint &rival, TimePoint now)
+bool CallPlanner::isBetter(const CallCandidate &candidate, const Endpoint &endpoint, const CallCandidate &other,
+                           const Endpoint &otherEndpoint, TimePoint now)
 {
-    if (one.items.size() != other.items.size()) {
-        return one.items.size() > other.items.size();
+    if (candidate.items.size() != other.items.size()) {
+        return candidate.items.size() > other.items.size();
     }
-    if (one.local != other.local) {
-        return one.local > other.local;
+    if (candidate.localItems != other.localItems) {
+        return candidate.localItems > other.localItems;
     }
-    return currentSlowness(endpoint, now) < currentSlowness(rival, now);
+    return currentSlowness(endpoint, now) < currentSlowness(otherEndpoint, now);
 }
 
 /*
- * Large inputs and results are best kept within a zone. Tasks of other zones that are no more urgent than the first
- * wait for the endpoints there as long as the call fills without them.
+ * Fills the call first with the most urgent tasks that prefer the endpoint's zone, then with any task that may go
+ * there. This keeps large inputs and results within a zone.
  */
-CallChoice CallPlanner::choose(const Pool &pool, const Endpoint &endpoint, const StageQueue &queue,
-                               const std::set<ZoneName> &zones, TimePoint now) const
+CallCandidate CallPlanner::fillCall(const Pool &pool, const Endpoint &endpoint, const StageQueue &queue,
+                                    const std::set<ZoneName> &poolZones, TimePoint now) const
 {
-    CallChoice choice;
-    choice.bytes = endpoint.takenBytes();
-    const StageOrder &first = *queue.begin();
-    for (const StageOrder &order : queue) {
-        const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(order));
-        const bool asUrgent =
-            std::get<bool>(order) == std::get<bool>(first) && std::get<int>(order) == std::get<int>(first);
-        const bool fits = pending.task.zone.empty() || pending.task.zone == endpoint.record.zone;
-        if (fits && asUrgent && !m_paths.isBroken(pending.inputZones, endpoint.record.zone, now)) {
-            take(pool, pending, choice);
+    CallCandidate candidate;
+    candidate.usedBytes = endpoint.takenBytes();
+    const QueueKey &first = *queue.begin();
+    for (const QueueKey &key : queue) {
+        const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(key));
+        const bool isSameUrgency =
+            std::get<bool>(key) == std::get<bool>(first) && std::get<int>(key) == std::get<int>(first);
+        const bool isPreferredZone = pending.task.zone.empty() || pending.task.zone == endpoint.record.zone;
+        if (isPreferredZone && isSameUrgency && !m_paths.isBroken(pending.inputZones, endpoint.record.zone, now)) {
+            addTask(pool, pending, candidate);
         }
     }
-    for (const StageOrder &order : queue) {
-        const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(order));
-        const bool fits = pending.task.zone == endpoint.record.zone || !zones.contains(pending.task.zone);
-        if ((fits || pending.patientUntil <= now) && !m_paths.isBroken(pending.inputZones, endpoint.record.zone, now)) {
-            take(pool, pending, choice);
+    for (const QueueKey &key : queue) {
+        const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(key));
+        const bool isZoneAllowed = pending.task.zone == endpoint.record.zone || !poolZones.contains(pending.task.zone);
+        if ((isZoneAllowed || pending.zoneWaitUntil <= now)
+            && !m_paths.isBroken(pending.inputZones, endpoint.record.zone, now)) {
+            addTask(pool, pending, candidate);
         }
     }
-    for (const CallItem &item : choice.items) {
-        choice.local += m_tasks.at(item.task).task.zone == endpoint.record.zone ? 1 : 0;
+    for (const CallItem &item : candidate.items) {
+        candidate.localItems += m_tasks.at(item.task).task.zone == endpoint.record.zone ? 1 : 0;
     }
-    return choice;
+    return candidate;
 }
 
-void CallPlanner::take(const Pool &pool, const PendingTask &pending, CallChoice &choice) const
+void CallPlanner::addTask(const Pool &pool, const PendingTask &pending, CallCandidate &candidate) const
 {
-    if (choice.items.size() >= pool.batch->batch || choice.tasks.contains(pending.task.id)) {
+    if (candidate.items.size() >= pool.batch->batch || candidate.tasks.contains(pending.task.id)) {
         return;
     }
-    const double share = pending.isLate ? lateRoomShare : 1.0;
-    const auto room = static_cast<std::uint64_t>(share * static_cast<double>(pool.batch->resultRoom));
-    const std::size_t rest = pending.waiting.size();
-    const bool isWhole =
-        choice.items.size() + rest <= pool.batch->batch && choice.bytes + rest * pending.task.resultBytes <= room;
-    // A request goes on when its last piece is made; the results of one that is spread over calls wait in scarce room.
-    // The first in the queue is spread all the same, or one with many pieces would wait for ever.
-    if (!isWhole && !choice.items.empty()) {
+    const double share = pending.isLate ? lateMemoryShare : 1.0;
+    const auto memoryLimit = static_cast<std::uint64_t>(share * static_cast<double>(pool.batch->resultRoom));
+    const std::size_t remainingPieces = pending.waitingPieces.size();
+    const bool fitsWhole = candidate.items.size() + remainingPieces <= pool.batch->batch
+        && candidate.usedBytes + remainingPieces * pending.task.resultBytes <= memoryLimit;
+    // A request proceeds only when all pieces are done; splitting it over calls keeps its first results in memory for
+    // longer. The first task of a call may be split, or one larger than a batch would never be sent.
+    if (!fitsWhole && !candidate.items.empty()) {
         return;
     }
-    choice.tasks.insert(pending.task.id);
-    for (const std::uint32_t piece : pending.waiting) {
-        // The first result is always taken, or one larger than the room would wait for ever.
-        const bool hasRoom = choice.bytes == 0 || choice.bytes + pending.task.resultBytes <= room;
-        if (choice.items.size() >= pool.batch->batch || !hasRoom) {
+    candidate.tasks.insert(pending.task.id);
+    for (const std::uint32_t piece : pending.waitingPieces) {
+        // A result larger than the limit is accepted when the memory is empty, or it would wait forever.
+        const bool fits = candidate.usedBytes == 0 || candidate.usedBytes + pending.task.resultBytes <= memoryLimit;
+        if (candidate.items.size() >= pool.batch->batch || !fits) {
             return;
         }
-        choice.bytes += pending.task.resultBytes;
-        choice.items.push_back({pending.task.id, piece, pending.task.resultBytes});
+        candidate.usedBytes += pending.task.resultBytes;
+        candidate.items.push_back({pending.task.id, piece, pending.task.resultBytes});
     }
 }
 
--- a/src/bergamottide/serving/callplanner.h
+++ b/src/bergamottide/serving/callplanner.h
@@ -15,18 +15,18 @@
 
 namespace bergamottide::serving {
 
-/*! @brief What a call to one endpoint would carry. */
-struct CallChoice
+/*! @brief Candidate call to one endpoint. */
+struct CallCandidate
 {
     std::vector<CallItem> items;
     std::set<StageTaskId> tasks;
-    /*! @brief Bytes in the endpoint's memory with it. */
-    std::uint64_t bytes{};
-    /*! @brief Items that prefer the endpoint's zone. */
-    std::size_t local{};
+    /*! @brief Result memory in use at the endpoint, including the results of this call. */
+    std::uint64_t usedBytes{};
+    /*! @brief Number of items that prefer the endpoint's zone. */
+    std::size_t localItems{};
 };
 
-/*! @brief The call that is best sent next. */
+/*! @brief Endpoint and items of the call to send next. */
 struct PlannedCall
 {
     Endpoint *endpoint{};
@@ -34,40 +34,40 @@
 };
 
 /**
- * @brief Makes up calls to the endpoints of a stage pool: which endpoint comes next, and which pieces it gets.
+ * @brief Selects the next endpoint of a stage pool to call and the pieces to send to it.
  *
- * Made for a backlog: calls are filled as far as the endpoint's memory for results allows, and a request's pieces stay
- * together.
+ * Calls are filled up to the batch size as far as the endpoint's result memory allows. The pieces of a task are kept in
+ * one call where they fit.
  */
 class CallPlanner
 {
 public:
     /**
      * @brief Creates a planner.
-     * @param endpoints Endpoints; outlive the planner.
-     * @param tasks Tasks that the queues refer to; outlive the planner.
-     * @param warmup Bound on calls to cold endpoints; outlives the planner.
-     * @param paths Zones between which results cannot be fetched; outlive the planner.
+     * @param endpoints Known endpoints; must outlive the planner.
+     * @param tasks Tasks that the queues refer to; must outlive the planner.
+     * @param warmup Limits calls to cold endpoints; must outlive the planner.
+     * @param paths Zones between which results cannot be fetched; must outlive the planner.
      */
     CallPlanner(EndpointBoard &endpoints, const PendingTasks &tasks, const WarmupLimiter &warmup,
                 const FetchPaths &paths);
 
     /**
-     * @brief Chooses the next call.
-     * @param pool Pool.
-     * @param queue Its queue.
-     * @param now Present time.
+     * @brief Selects the next call.
+     * @param pool Stage pool.
+     * @param queue Non-empty queue of the pool.
+     * @param now Current time.
      * @return The call; nothing if none should be sent now.
      */
-    [[nodiscard]] std::optional<PlannedCall> next(const Pool &pool, const StageQueue &queue, TimePoint now) const;
+    [[nodiscard]] std::optional<PlannedCall> nextCall(const Pool &pool, const StageQueue &queue, TimePoint now) const;
 
 private:
-    [[nodiscard]] std::vector<Endpoint *> freeEndpoints(const Pool &pool, TimePoint now) const;
-    [[nodiscard]] CallChoice choose(const Pool &pool, const Endpoint &endpoint, const StageQueue &queue,
-                                    const std::set<ZoneName> &zones, TimePoint now) const;
-    void take(const Pool &pool, const PendingTask &pending, CallChoice &choice) const;
-    [[nodiscard]] static bool isBetter(const CallChoice &one, const Endpoint &endpoint, const CallChoice &other,
-                                       const Endpoint &rival, TimePoint now);
+    [[nodiscard]] std::vector<Endpoint *> availableEndpoints(const Pool &pool, TimePoint now) const;
+    [[nodiscard]] CallCandidate fillCall(const Pool &pool, const Endpoint &endpoint, const StageQueue &queue,
+                                         const std::set<ZoneName> &poolZones, TimePoint now) const;
+    void addTask(const Pool &pool, const PendingTask &pending, CallCandidate &candidate) const;
+    [[nodiscard]] static bool isBetter(const CallCandidate &candidate, const Endpoint &endpoint,
+                                       const CallCandidate &other, const Endpoint &otherEndpoint, TimePoint now);
 
     EndpointBoard &m_endpoints;
     const PendingTasks &m_tasks;
--- a/src/bergamottide/serving/pendingtask.h
+++ b/src/bergamottide/serving/pendingtask.h
@@ -12,50 +12,52 @@
 
 namespace bergamottide::serving {
 
-/*! @brief A task in the queue of a stage pool, or with pieces in calls. */
+/*! @brief A task with pieces in the queue of a stage pool or in calls. */
 struct PendingTask
 {
     StageTask task;
-    /*! @brief Pieces not in a call at present. */
-    std::vector<std::uint32_t> waiting;
-    std::uint32_t open{};
+    /*! @brief Pieces to be sent in a call. */
+    std::vector<std::uint32_t> waitingPieces;
+    /*! @brief Number of pieces without a result. */
+    std::uint32_t unfinishedPieces{};
+    /*! @brief Number of failed attempts, summed over the pieces. */
     std::uint32_t failures{};
-    /*! @brief Zones in which its inputs lie, as far as their makers are known. */
+    /*! @brief Zones of the known endpoints that store its inputs. */
     std::set<ZoneName> inputZones;
-    /*! @brief Its request cannot be on time any more. */
+    /*! @brief Whether its request is expected to miss its objective. */
     bool isLate{};
     TimePoint lateSince{};
-    /*! @brief Until then only endpoints of its zone take it. */
-    TimePoint patientUntil{};
-    /*! @brief When the calls with its pieces have fetched their inputs; set once all pieces are in calls. */
-    std::optional<TimePoint> fetchedAt;
-    /*! @brief Its inputs have been given up. */
-    bool isFetched{};
+    /*! @brief Until then it is sent only to endpoints of its preferred zone. */
+    TimePoint zoneWaitUntil{};
+    /*! @brief When the endpoints are expected to have fetched its inputs; set once all pieces are in calls. */
+    std::optional<TimePoint> inputsFetchedAt;
+    /*! @brief Whether its inputs have been released. */
+    bool inputsReleased{};
 };
 
-/*! @brief Tasks by their identity. */
+/*! @brief Tasks by identifier. */
 using PendingTasks = std::map<StageTaskId, PendingTask>;
 
-/*! @brief Order in which the tasks of a pool are served: late ones last, then by rank, then by due. */
-using StageOrder = std::tuple<bool, int, TimePoint, StageTaskId>;
+/*! @brief Sort key of a queue: whether the task is late, its rank, its latest start and its identifier. */
+using QueueKey = std::tuple<bool, int, TimePoint, StageTaskId>;
 
-/*! @brief Tasks of a pool with pieces that wait for a call, the first to serve first. */
-using StageQueue = std::set<StageOrder>;
+/*! @brief Tasks of a pool that have waiting pieces, the next one to serve first. */
+using StageQueue = std::set<QueueKey>;
 
-/*! @brief Returns the place of a task in its queue. */
-[[nodiscard]] inline StageOrder orderOf(const PendingTask &pending)
+/*! @brief Returns the sort key of a task. */
+[[nodiscard]] inline QueueKey queueKey(const PendingTask &pending)
 {
     return {pending.isLate, pending.task.rank, pending.task.due, pending.task.id};
 }
 
-/*! @brief Returns the number of pieces that wait in a queue. */
-[[nodiscard]] inline std::size_t waitingPieces(const StageQueue &queue, const PendingTasks &tasks)
+/*! @brief Returns the number of waiting pieces of all tasks in a queue. */
+[[nodiscard]] inline std::size_t countWaitingPieces(const StageQueue &queue, const PendingTasks &tasks)
 {
-    std::size_t waiting = 0;
-    for (const StageOrder &order : queue) {
-        waiting += tasks.at(std::get<StageTaskId>(order)).waiting.size();
+    std::size_t count = 0;
+    for (const QueueKey &key : queue) {
+        count += tasks.at(std::get<StageTaskId>(key)).waitingPieces.size();
     }
-    return waiting;
+    return count;
 }
 
 /*! @brief One piece in a call. */
@@ -63,6 +65,7 @@
 {
     StageTaskId task{};
     std::uint32_t piece{};
+    /*! @brief Memory reserved for its result. */
     std::uint64_t bytes{};
 };
 
--- /dev/null
+++ b/src/bergamottide/serving/resultmemory.cpp
@@ -0,0 +1,94 @@
+#include "bergamottide/serving/resultmemory.h"
+
+#include <absl/strings/str_cat.h>
+
+#include <algorithm>
+
+namespace bergamottide::serving {
+
+namespace {
+
+/*! @brief Time for which a report on results of other schedulers is valid, unless it is renewed. */
+constexpr Duration heldReportTtl = std::chrono::milliseconds{1500};
+
+} // namespace
+
+ResultMemory::ResultMemory(EndpointBoard &endpoints)
+    : m_endpoints{endpoints}
+{
+}
+
+void ResultMemory::releaseReservation(const MemoryReservation &reservation)
+{
+    Endpoint *found = m_endpoints.find(reservation.endpoint);
+    if (found != nullptr && found->record.incarnation == reservation.incarnation) {
+        found->resultBytes -= std::min(found->resultBytes, reservation.bytes);
+    }
+}
+
+void ResultMemory::add(const std::string &handle, const MemoryReservation &reservation, TimePoint expiry)
+{
+    m_results[handle] = {reservation, expiry};
+    m_expiries.emplace(expiry, handle);
+}
+
+void ResultMemory::addLost(const MemoryReservation &reservation, TimePoint expiry)
+{
+    add(absl::StrCat("lost/", m_nextLostNumber++), reservation, expiry);
+}
+
+void ResultMemory::remove(const std::string &handle)
+{
+    const auto found = m_results.find(handle);
+    if (found == m_results.end()) {
+        return;
+    }
+    releaseReservation(found->second.reservation);
+    m_expiries.erase({found->second.expiry, handle});
+    m_results.erase(found);
+}
+
+void ResultMemory::removeExpired(TimePoint now)
+{
+    while (!m_expiries.empty() && m_expiries.begin()->first <= now) {
+        const std::string handle = m_expiries.begin()->second;
+        remove(handle);
+    }
+    for (auto next = m_heldElsewhere.begin(); next != m_heldElsewhere.end();) {
+        if (now - next->second.receivedAt < heldReportTtl) {
+            ++next;
+            continue;
+        }
+        adjustHeldBytes(next->second.results, false);
+        next = m_heldElsewhere.erase(next);
+    }
+}
+
+void ResultMemory::setHeldElsewhere(const StageTask &task, TimePoint now)
+{
+    const std::pair key{task.from, task.pool};
+    const auto previous = m_heldElsewhere.find(key);
+    if (previous != m_heldElsewhere.end()) {
+        adjustHeldBytes(previous->second.results, false);
+        m_heldElsewhere.erase(previous);
+    }
+    if (!task.held.empty()) {
+        adjustHeldBytes(task.held, true);
+        m_heldElsewhere.emplace(key, HeldReport{task.held, now});
+    }
+}
+
+void ResultMemory::adjustHeldBytes(const std::vector<HeldResults> &results, bool isAdded)
+{
+    for (const HeldResults &held : results) {
+        Endpoint *endpoint = m_endpoints.find(held.endpoint);
+        if (endpoint == nullptr) {
+            continue;
+        }
+        endpoint->otherSchedulersBytes = isAdded
+            ? endpoint->otherSchedulersBytes + held.bytes
+            : endpoint->otherSchedulersBytes - std::min(endpoint->otherSchedulersBytes, held.bytes);
+    }
+}
+
+} // namespace bergamottide::serving
--- a/src/bergamottide/serving/stagescheduler.cpp
+++ b/src/bergamottide/serving/stagescheduler.cpp
@@ -12,45 +12,36 @@
 
 namespace {
 
-/*! @brief Failures of one task, not counting rejections, after which its request is given up. */
-constexpr std::uint32_t mostFailures = 3;
-/*! @brief A call is given up after this many times its expected time, plus the allowance for the network. */
-constexpr int expiryFactor = 3;
-constexpr Duration expiryAllowance = std::chrono::milliseconds{200};
-/*! @brief Time by which a task may be expected to miss its due before it is taken as late: estimates are no better than
- * that. */
+/*! @brief Average failures of each piece of a task, excluding rejections, after which the task fails. */
+constexpr std::uint32_t maxFailuresPerPiece = 3;
+/*! @brief A call times out after this multiple of its expected duration, plus an allowance for the network. */
+constexpr int callTimeoutFactor = 3;
+constexpr Duration callTimeoutAllowance = std::chrono::milliseconds{200};
+/*! @brief Delay beyond its latest start at which a task counts as late; covers the error of the estimates. */
 constexpr Duration lateTolerance = std::chrono::milliseconds{50};
-/*! @brief Longest wait of a late task behind all others: its result is worth little, and its caller may come back
- * sooner. */
-constexpr Duration longestLateWait = std::chrono::milliseconds{700};
-/*! @brief Inputs count as fetched after this many times the time that the links need, plus the allowance: a call
- * carries some tasks, both ends share their links, and the request is on its way for some milliseconds. */
+/*! @brief Maximum wait of a late task; after that its caller had better retry. */
+constexpr Duration maxLateWait = std::chrono::milliseconds{700};
+/*! @brief Inputs count as fetched after this multiple of their transfer time, plus an allowance for the latency; the
+ * links are shared with other tasks. */
 constexpr int fetchTimeFactor = 6;
 constexpr Duration fetchAllowance = std::chrono::milliseconds{60};
-/*! @brief Time for which an endpoint that told no work of others is taken to have none: some calls. Where another
- * scheduler's call is in progress, one's own is fetched for only after it. */
-constexpr Duration aloneMemory = std::chrono::seconds{2};
-/*! @brief Share of a pool that more urgent work is taken to fill at most, in the forecast of a wait behind it. */
-constexpr double mostUrgentShare = 0.8;
-/*!
- * @brief Time for which a task waits for an endpoint of its zone while others are free.
- *
- * A stage whose pieces each fetch all inputs moves several megabytes; a call takes 150 ms and more, so that an endpoint
- * of the zone is likely to become free meanwhile.
- */
-constexpr Duration zonePatience = std::chrono::milliseconds{200};
-/*! @brief A task with less time than this to its latest start does not wait for its zone. */
-constexpr Duration zoneUrgency = std::chrono::milliseconds{200};
-/*! @brief Time for which an endpoint that had no room for a result gets none: results of others lapse or are given up
- * by then. */
-constexpr Duration noRoomPause = std::chrono::milliseconds{250};
-/*! @brief Time after which a queue is reviewed though nothing of it has changed: endpoints that were left out return,
- * and tasks become late. A fifteenth of the shortest calls. */
-constexpr Duration reviewPeriod = std::chrono::milliseconds{10};
-/*! @brief Time for which an endpoint that rejected a call gets none: another process works with it, or it leaves. */
+/*! @brief Time for which a report of no work of other processes is trusted. An endpoint that is busy with the call of
+ * another scheduler fetches inputs later than estimated. */
+constexpr Duration exclusivityTtl = std::chrono::seconds{2};
+/*! @brief Upper bound of the share of a pool that arriving work of lower ranks takes up in a forecast. */
+constexpr double maxUrgentShare = 0.8;
+/*! @brief Maximum wait for an endpoint of the preferred zone; about the duration of a call. */
+constexpr Duration maxZoneWait = std::chrono::milliseconds{200};
+/*! @brief A task stops waiting for its preferred zone this long before its latest start. */
+constexpr Duration zoneWaitMargin = std::chrono::milliseconds{200};
+/*! @brief Pause in calls to an endpoint that had no memory for a result, so that other results can be released. */
+constexpr Duration memoryFullPause = std::chrono::milliseconds{250};
+/*! @brief Maximum time between scans of an unchanged queue; ejected endpoints return, and tasks become late. */
+constexpr Duration scanPeriod = std::chrono::milliseconds{10};
+/*! @brief Pause in calls to an endpoint that rejected one: it is busy with another process or draining. */
 constexpr Duration rejectionPause = std::chrono::milliseconds{60};
 
-/*! @brief Time in which an endpoint fetches the inputs of all pieces of a task; each piece fetches them all. */
+/*! @brief Returns the transfer time of the inputs of a task; every piece fetches all of them. */
 Duration fetchTime(const BatchSpec &spec, const StageTask &task)
 {
     double bytes = 0.0;
@@ -61,7 +52,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-std::vector<std::string> handlesOf(const std::vector<KeptResult> &results)
+std::vector<std::string> resultHandles(const std::vector<KeptResult> &results)
 {
     std::vector<std::string> handles;
     handles.reserve(results.size());
@@ -71,24 +62,24 @@
     return handles;
 }
 
-Duration expectedTime(const BatchSpec &spec, std::size_t items)
+Duration expectedCallTime(const BatchSpec &spec, std::size_t items)
 {
     return spec.callTime + spec.itemTime * static_cast<std::int64_t>(items);
 }
 
-/*! @brief Returns the share of the endpoints' memory for results that is taken. */
-double roomTaken(const BatchSpec &spec, const std::vector<Endpoint *> &endpoints)
+/*! @brief Returns the share of the endpoints' result memory in use. */
+double memoryUsage(const BatchSpec &spec, const std::vector<Endpoint *> &endpoints)
 {
-    const double room = static_cast<double>(spec.resultRoom) * static_cast<double>(endpoints.size());
-    double taken = 0.0;
+    const double capacity = static_cast<double>(spec.resultRoom) * static_cast<double>(endpoints.size());
+    double used = 0.0;
     for (const Endpoint *endpoint : endpoints) {
-        taken += static_cast<double>(endpoint->takenBytes());
+        used += static_cast<double>(endpoint->takenBytes());
     }
-    return room > 0.0 ? taken / room : 0.0;
+    return capacity > 0.0 ? used / capacity : 0.0;
 }
 
-/*! @brief Returns the identities of the requests in a call, each once, separated by commas. */
-std::string requestsOf(const StartStageCall &call)
+/*! @brief Returns the attempts in a call, separated by commas; consecutive duplicates are merged. */
+std::string joinAttempts(const StartStageCall &call)
 {
     std::string out;
     std::string_view last;
@@ -105,12 +96,12 @@
 } // namespace
 
 StageScheduler::StageScheduler(EndpointBoard &endpoints, RetryBudget &budget, const WarmupLimiter &warmup,
-                               FetchPaths &paths, ShortOfRoom shortOfRoom)
+                               FetchPaths &paths, MemoryPressureCheck isMemoryScarce)
     : m_endpoints{endpoints}
     , m_budget{budget}
     , m_paths{paths}
-    , m_shortOfRoom{std::move(shortOfRoom)}
-    , m_room{endpoints}
+    , m_isMemoryScarce{std::move(isMemoryScarce)}
+    , m_resultMemory{endpoints}
     , m_planner{endpoints, m_tasks, warmup, paths}
 {
 }
@@ -120,20 +111,20 @@
     const StageTaskId id = task.id;
     PendingTask pending;
     for (std::uint32_t piece = 0; piece < task.pieces; ++piece) {
-        pending.waiting.push_back(piece);
+        pending.waitingPieces.push_back(piece);
     }
-    pending.open = task.pieces;
+    pending.unfinishedPieces = task.pieces;
     for (const KeptResult &input : task.inputs) {
-        if (const Endpoint *maker = m_endpoints.find(input.endpoint); maker != nullptr) {
-            pending.inputZones.insert(maker->record.zone);
+        if (const Endpoint *source = m_endpoints.find(input.endpoint); source != nullptr) {
+            pending.inputZones.insert(source->record.zone);
         }
     }
-    pending.patientUntil = task.zone.empty() ? now : std::min(now + zonePatience, task.due - zoneUrgency);
+    pending.zoneWaitUntil = task.zone.empty() ? now : std::min(now + maxZoneWait, task.due - zoneWaitMargin);
     pending.task = std::move(task);
-    m_queues[pending.task.pool].insert(orderOf(pending));
-    m_room.noteHeld(pending.task, now);
+    m_queues[pending.task.pool].insert(queueKey(pending));
+    m_resultMemory.setHeldElsewhere(pending.task, now);
     m_loads[pending.task.pool].recordArrival(pending.task.rank, pending.task.pieces, now);
-    m_reviews[pending.task.pool].isDue = true;
+    m_scans[pending.task.pool].isRequested = true;
     m_tasks.emplace(id, std::move(pending));
 }
 
@@ -143,7 +134,7 @@
     if (found == m_tasks.end()) {
         return;
     }
-    m_queues[found->second.task.pool].erase(orderOf(found->second));
+    m_queues[found->second.task.pool].erase(queueKey(found->second));
     m_tasks.erase(found);
 }
 
@@ -151,7 +142,7 @@
 {
     std::vector<StageTask> out;
     for (const auto &[id, pending] : m_tasks) {
-        if (pending.waiting.size() == pending.task.pieces && isTakenOver(pending.task.pool)) {
+        if (pending.waitingPieces.size() == pending.task.pieces && isTakenOver(pending.task.pool)) {
             out.push_back(pending.task);
         }
     }
@@ -168,38 +159,37 @@
         if (queue.empty() || pool == nullptr || !pool->batch) {
             continue;
         }
-        Review &review = m_reviews[name];
-        if (!isDue(review, now)) {
+        QueueScan &scan = m_scans[name];
+        if (!isScanDue(scan, now)) {
             continue;
         }
         dispatchPool(*pool, queue, now, effects);
-        review = {false, now, patienceEnd(queue, now)};
-        ++m_reviewCount;
+        scan = {false, now, firstZoneWaitEnd(queue, now)};
+        ++m_scanCount;
     }
 }
 
 /*
- * Answers a process that keeps a queue beside its callers' streams: most of its events, each token that is passed on
- * among them, change nothing of the queue. With 41 endpoints and 560 tasks a second, reviews at each event and a drain
- * rate worked out for each task took 0.46 of a core, against 0.04 so (benchmark `keepQueue`).
+ * Most events that this process handles, such as each token of a stream, do not affect the queues. Scanning them at
+ * every event would take a large part of a core (benchmark `keepQueue`).
  */
-bool StageScheduler::isDue(const Review &review, TimePoint now)
+bool StageScheduler::isScanDue(const QueueScan &scan, TimePoint now)
 {
-    return review.isDue || now - review.at >= reviewPeriod || (review.patienceEnds && *review.patienceEnds <= now);
+    return scan.isRequested || now - scan.at >= scanPeriod || (scan.zoneWaitEnds && *scan.zoneWaitEnds <= now);
 }
 
 void StageScheduler::reviewAll()
 {
-    for (auto &[pool, review] : m_reviews) {
-        review.isDue = true;
+    for (auto &[pool, scan] : m_scans) {
+        scan.isRequested = true;
     }
 }
 
-std::optional<TimePoint> StageScheduler::patienceEnd(const StageQueue &queue, TimePoint now) const
+std::optional<TimePoint> StageScheduler::firstZoneWaitEnd(const StageQueue &queue, TimePoint now) const
 {
     std::optional<TimePoint> first;
-    for (const StageOrder &order : queue) {
-        const TimePoint until = m_tasks.at(std::get<StageTaskId>(order)).patientUntil;
+    for (const QueueKey &key : queue) {
+        const TimePoint until = m_tasks.at(std::get<StageTaskId>(key)).zoneWaitUntil;
         if (until > now && (!first || until < *first)) {
             first = until;
         }
@@ -208,67 +198,67 @@
 }
 
 /*
- * Answers a backlog in which the oldest can no longer be on time: served first, they would make the next ones late as
- * well. Whoever cannot be on time behind those that go before it is marked at once, and goes behind all that can.
+ * Moves tasks that cannot start in time behind all that can. Served in order of arrival, a backlog of late tasks would
+ * delay the tasks behind it until they are late as well.
  */
 void StageScheduler::markLate(const Pool &pool, StageQueue &queue, TimePoint now)
 {
     const DrainRate rate = drainRate(pool, m_endpoints.usable(pool.name, now), now);
     std::size_t ahead = 0;
     std::vector<StageTaskId> late;
-    for (const StageOrder &order : queue) {
-        if (std::get<bool>(order)) {
+    for (const QueueKey &key : queue) {
+        if (std::get<bool>(key)) {
             break;
         }
-        const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(order));
+        const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(key));
         if (now + rate.waitBehind(ahead) > pending.task.due + lateTolerance) {
             late.push_back(pending.task.id);
             continue;
         }
-        ahead += pending.waiting.size();
+        ahead += pending.waitingPieces.size();
     }
     for (const StageTaskId task : late) {
         PendingTask &pending = m_tasks.at(task);
-        queue.erase(orderOf(pending));
+        queue.erase(queueKey(pending));
         pending.isLate = true;
         pending.lateSince = now;
-        queue.insert(orderOf(pending));
+        queue.insert(queueKey(pending));
     }
-    shedLate(pool, queue, rate, ahead, now);
+    dropHopelessTasks(pool, queue, rate, ahead, now);
 }
 
 /*
- * Answers saturation that outlasts the backlog: late tasks are served from what the others leave. Those that would wait
- * longer than their bound are given up at once, so that their callers are not held for nothing and can come back.
+ * Late tasks get only the capacity that is left over. Those that would exceed their maximum wait or their deadline fail
+ * at once, so that their callers can retry instead of waiting in vain.
  */
-void StageScheduler::shedLate(const Pool &pool, const StageQueue &queue, const DrainRate &rate, std::size_t ahead,
-                              TimePoint now)
+void StageScheduler::dropHopelessTasks(const Pool &pool, const StageQueue &queue, const DrainRate &rate,
+                                       std::size_t ahead, TimePoint now)
 {
-    std::vector<StageTaskId> hopeless;
-    for (const StageOrder &order : queue) {
-        if (!std::get<bool>(order)) {
+    std::vector<StageTaskId> dropped;
+    for (const QueueKey &key : queue) {
+        if (!std::get<bool>(key)) {
             continue;
         }
-        const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(order));
+        const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(key));
         const Duration wait = std::max(rate.waitBehind(ahead), now - pending.lateSince);
-        const bool inCall = pending.waiting.size() < pending.open;
-        if (!inCall && (wait > longestLateWait || now + wait + expectedTime(*pool.batch, 1) > pending.task.deadline)) {
-            hopeless.push_back(pending.task.id);
+        const bool inCall = pending.waitingPieces.size() < pending.unfinishedPieces;
+        if (!inCall && (wait > maxLateWait || now + wait + expectedCallTime(*pool.batch, 1) > pending.task.deadline)) {
+            dropped.push_back(pending.task.id);
             continue;
         }
-        ahead += pending.waiting.size();
+        ahead += pending.waitingPieces.size();
     }
-    for (const StageTaskId task : hopeless) {
+    for (const StageTaskId task : dropped) {
         fail(m_tasks.at(task), PieceFailure::Late);
     }
 }
 
-Duration StageScheduler::remainingTime(const PoolName &pool, TimePoint now) const
+Duration StageScheduler::remainingCallTime(const PoolName &pool, TimePoint now) const
 {
     Duration remaining{};
     for (const auto &[number, call] : m_calls) {
         if (call.pool == pool) {
-            remaining += std::max(Duration::zero(), call.started + call.expected - now);
+            remaining += std::max(Duration::zero(), call.startedAt + call.expectedDuration - now);
         }
     }
     return remaining;
@@ -276,7 +266,7 @@
 
 DrainRate StageScheduler::drainRate(const Pool &pool, const std::vector<Endpoint *> &usable, TimePoint now)
 {
-    return {*pool.batch, usable, remainingTime(pool.name, now), m_loads[pool.name].backlogItemsPerCall(*pool.batch),
+    return {*pool.batch, usable, remainingCallTime(pool.name, now), m_loads[pool.name].backlogItemsPerCall(*pool.batch),
             now};
 }
 
@@ -284,17 +274,17 @@
 {
     markLate(pool, queue, now);
     while (!queue.empty()) {
-        auto planned = m_planner.next(pool, queue, now);
+        auto planned = m_planner.nextCall(pool, queue, now);
         if (!planned) {
             return;
         }
-        m_loads[pool.name].recordCall(*pool.batch, planned->items.size(), waitingPieces(queue, m_tasks));
-        send(pool, *planned->endpoint, std::move(planned->items), queue, now, effects);
+        m_loads[pool.name].recordCall(*pool.batch, planned->items.size(), countWaitingPieces(queue, m_tasks));
+        sendCall(pool, *planned->endpoint, std::move(planned->items), queue, now, effects);
     }
 }
 
-void StageScheduler::send(const Pool &pool, Endpoint &endpoint, std::vector<CallItem> items, StageQueue &queue,
-                          TimePoint now, Effects &effects)
+void StageScheduler::sendCall(const Pool &pool, Endpoint &endpoint, std::vector<CallItem> items, StageQueue &queue,
+                              TimePoint now, Effects &effects)
 {
     StartStageCall start;
     start.call = StageCallNumber{m_nextCall++};
@@ -303,15 +293,15 @@
     for (const CallItem &item : items) {
         PendingTask &pending = m_tasks.at(item.task);
         const StageTask &task = pending.task;
-        const Duration left = task.deadline - now;
-        start.items.push_back({task.attempt, task.stage, item.piece, left, task.key, handlesOf(task.inputs)});
-        start.deadline = std::max(start.deadline, left);
-        std::erase(pending.waiting, item.piece);
-        if (pending.waiting.empty()) {
-            queue.erase(orderOf(pending));
-            if (now - endpoint.exclusiveAt < aloneMemory) {
-                pending.fetchedAt = now + fetchTime(*pool.batch, task) * fetchTimeFactor + fetchAllowance;
-                m_fetches.emplace(*pending.fetchedAt, task.id);
+        const Duration timeLeft = task.deadline - now;
+        start.items.push_back({task.attempt, task.stage, item.piece, timeLeft, task.key, resultHandles(task.inputs)});
+        start.deadline = std::max(start.deadline, timeLeft);
+        std::erase(pending.waitingPieces, item.piece);
+        if (pending.waitingPieces.empty()) {
+            queue.erase(queueKey(pending));
+            if (now - endpoint.exclusiveAt < exclusivityTtl) {
+                pending.inputsFetchedAt = now + fetchTime(*pool.batch, task) * fetchTimeFactor + fetchAllowance;
+                m_fetchEstimates.emplace(*pending.inputsFetchedAt, task.id);
             }
         }
         endpoint.resultBytes += item.bytes;
@@ -321,26 +311,26 @@
     call.endpoint = start.instance;
     call.incarnation = endpoint.record.incarnation;
     call.address = start.address;
-    call.started = now;
-    call.expected = expectedTime(*pool.batch, items.size());
+    call.startedAt = now;
+    call.expectedDuration = expectedCallTime(*pool.batch, items.size());
     call.resultTtl = pool.batch->resultTtl;
-    call.expiry = now + call.expected * expiryFactor + expiryAllowance;
+    call.timeoutAt = now + call.expectedDuration * callTimeoutFactor + callTimeoutAllowance;
     call.items = std::move(items);
     effects.emplace_back(LogLine{Severity::Info,
                                  Part::Entry,
-                                 "A stage call is sent.",
+                                 "Stage call sent.",
                                  {{"call", absl::StrCat(static_cast<std::uint64_t>(start.call))},
                                   {"pool", pool.name.text()},
                                   {"endpoint", call.endpoint.text()},
                                   {"items", absl::StrCat(call.items.size())},
-                                  {"requests", requestsOf(start)},
+                                  {"requests", joinAttempts(start)},
                                   {"waiting_tasks", absl::StrCat(queue.size())},
                                   {"result_bytes", absl::StrCat(endpoint.resultBytes)},
                                   {"slowness", absl::StrCat(currentSlowness(endpoint, now))}}});
     effects.emplace_back(Observe{Metric::StageCallItems, {pool.name.text()}, static_cast<double>(call.items.size())});
     m_endpoints.started(call.endpoint);
     WarmupLimiter::noteSent(pool, endpoint, now);
-    m_expiries.emplace(call.expiry, start.call);
+    m_callTimeouts.emplace(call.timeoutAt, start.call);
     m_calls.emplace(start.call, std::move(call));
     effects.emplace_back(std::move(start));
 }
@@ -352,8 +342,8 @@
         return;
     }
     const Call &call = node.mapped();
-    m_expiries.erase({call.expiry, event.call});
-    m_reviews[call.pool].isDue = true;
+    m_callTimeouts.erase({call.timeoutAt, event.call});
+    m_scans[call.pool].isRequested = true;
     if (event.end == StageCallEnd::Answered || event.end == StageCallEnd::Rejected) {
         m_endpoints.answered(call.endpoint, now);
     }
@@ -367,57 +357,57 @@
         if (Endpoint *endpoint = m_endpoints.find(call.endpoint); endpoint != nullptr && rejected) {
             endpoint->pausedUntil = now + rejectionPause;
         }
-        giveBack(call, !rejected, now, effects);
+        retryItems(call, !rejected, now, effects);
         return;
     }
-    noteSpeed(call, now);
+    recordDuration(call, now);
     m_endpoints.ended(call.endpoint, EndpointSign::Good, now, effects);
-    noteCompany(call, event.load, now);
-    std::vector<std::string> orphans;
-    std::map<StageTaskId, std::vector<CallItem>> unreached;
+    updateExclusivity(call, event.load, now);
+    std::vector<std::string> unclaimedHandles;
+    std::map<StageTaskId, std::vector<CallItem>> unreachable;
     logFailures(event, call, effects);
-    notePaths(event, call, now);
+    recordFetches(event, call, now);
     for (std::size_t index = 0; index < call.items.size(); ++index) {
         const CallItem &item = call.items[index];
         const PieceResult &result = event.results[index];
         const auto found = m_tasks.find(item.task);
         if (found == m_tasks.end()) {
-            m_room.giveBack(shareOf(call, item));
+            m_resultMemory.releaseReservation(reservationOf(call, item));
             if (!result.handle.empty()) {
-                orphans.push_back(result.handle);
+                unclaimedHandles.push_back(result.handle);
             }
             continue;
         }
         if (result.handle.empty()) {
-            m_room.giveBack(shareOf(call, item));
-            if (result.failure == PieceFailure::InputGone && isOutOfReach(found->second, call, now)) {
-                unreached[item.task].push_back(item);
+            m_resultMemory.releaseReservation(reservationOf(call, item));
+            if (result.failure == PieceFailure::InputGone && areInputsUnreachable(found->second, call, now)) {
+                unreachable[item.task].push_back(item);
             } else if (result.failure == PieceFailure::Late || result.failure == PieceFailure::InputGone) {
                 fail(found->second, result.failure);
             } else {
                 if (Endpoint *endpoint = m_endpoints.find(call.endpoint);
                     endpoint != nullptr && result.failure == PieceFailure::NoRoom) {
-                    endpoint->pausedUntil = now + noRoomPause;
+                    endpoint->pausedUntil = now + memoryFullPause;
                 }
                 requeue(item, result.failure != PieceFailure::NoRoom);
             }
             continue;
         }
-        m_room.keep(result.handle, shareOf(call, item), now + call.resultTtl);
+        m_resultMemory.add(result.handle, reservationOf(call, item), now + call.resultTtl);
         m_outcomes.push_back({item.task, item.piece, result, call.endpoint, call.address});
-        if (--found->second.open == 0) {
-            giveUpInputs(found->second);
+        if (--found->second.unfinishedPieces == 0) {
+            releaseInputs(found->second);
             m_tasks.erase(found);
         }
     }
-    tryElsewhere(unreached, call, now);
-    if (!orphans.empty()) {
-        effects.emplace_back(FreeResults{call.address, std::move(orphans)});
+    requeueUnreachable(unreachable, call, now);
+    if (!unclaimedHandles.empty()) {
+        effects.emplace_back(FreeResults{call.address, std::move(unclaimedHandles)});
     }
 }
 
-/*! @brief Notes between which zones inputs were fetched, and between which they were not. */
-void StageScheduler::notePaths(const StageCallEnded &event, const Call &call, TimePoint now)
+/*! @brief Records between which zones the inputs of a call could be fetched. */
+void StageScheduler::recordFetches(const StageCallEnded &event, const Call &call, TimePoint now)
 {
     const Endpoint *endpoint = m_endpoints.find(call.endpoint);
     if (endpoint == nullptr) {
@@ -434,21 +424,21 @@
 }
 
 /*
- * Answers partitions between zones: inputs that one endpoint reports as gone are still there for the endpoints of other
- * zones. In a day with two one-way cuts 3,303 pieces had their chains of stages made again, 128 s of endpoints' time.
+ * During a partition between zones, inputs that one endpoint reports as missing can still be fetched by endpoints of
+ * other zones. Retrying the pieces there avoids repeating all earlier stages.
  */
-bool StageScheduler::isOutOfReach(const PendingTask &pending, const Call &call, TimePoint now)
+bool StageScheduler::areInputsUnreachable(const PendingTask &pending, const Call &call, TimePoint now)
 {
     const Endpoint *endpoint = m_endpoints.find(call.endpoint);
-    return endpoint != nullptr && !pending.isFetched
+    return endpoint != nullptr && !pending.inputsReleased
         && m_paths.isBroken(pending.inputZones, endpoint->record.zone, now);
 }
 
-/*! @brief Queues pieces again whose endpoint could not reach their inputs, as far as the budget allows. */
-void StageScheduler::tryElsewhere(const std::map<StageTaskId, std::vector<CallItem>> &unreached, const Call &call,
-                                  TimePoint now)
+/*! @brief Requeues pieces whose inputs were unreachable for their endpoint, as far as the retry budget allows. */
+void StageScheduler::requeueUnreachable(const std::map<StageTaskId, std::vector<CallItem>> &unreachable,
+                                        const Call &call, TimePoint now)
 {
-    for (const auto &[task, items] : unreached) {
+    for (const auto &[task, items] : unreachable) {
         const auto found = m_tasks.find(task);
         if (found == m_tasks.end()) {
             continue;
@@ -463,8 +453,8 @@
     }
 }
 
-/*! @brief Notes whether only this scheduler has calls at an endpoint, from the load that it told when a call ended. */
-void StageScheduler::noteCompany(const Call &call, const std::optional<EndpointLoad> &load, TimePoint now)
+/*! @brief Records whether only this scheduler uses an endpoint, from the load that it reported with an answer. */
+void StageScheduler::updateExclusivity(const Call &call, const std::optional<EndpointLoad> &load, TimePoint now)
 {
     Endpoint *endpoint = m_endpoints.find(call.endpoint);
     if (endpoint == nullptr) {
@@ -474,7 +464,7 @@
     endpoint->exclusiveAt = isShared ? TimePoint{} : now;
 }
 
-RoomShare StageScheduler::shareOf(const Call &call, const CallItem &item)
+MemoryReservation StageScheduler::reservationOf(const Call &call, const CallItem &item)
 {
     return {call.endpoint, call.incarnation, item.bytes};
 }
@@ -490,7 +480,7 @@
     for (const auto &[failure, pieces] : failures) {
         effects.emplace_back(LogLine{Severity::Warning,
                                      Part::Entry,
-                                     "Pieces of a stage call were not made.",
+                                     "Stage call returned no results for some pieces.",
                                      {{"call", absl::StrCat(static_cast<std::uint64_t>(event.call))},
                                       {"endpoint", call.endpoint.text()},
                                       {"pool", call.pool.text()},
@@ -499,34 +489,34 @@
     }
 }
 
-void StageScheduler::giveBack(const Call &call, bool failed, TimePoint now, Effects &effects)
+void StageScheduler::retryItems(const Call &call, bool failed, TimePoint now, Effects &effects)
 {
-    std::set<StageTaskId> refused;
-    std::set<StageTaskId> seen;
+    std::set<StageTaskId> notRetried;
+    std::set<StageTaskId> charged;
     for (const CallItem &item : call.items) {
         if (failed) {
-            m_room.keepLost(shareOf(call, item), now + call.resultTtl);
+            m_resultMemory.addLost(reservationOf(call, item), now + call.resultTtl);
         } else {
-            m_room.giveBack(shareOf(call, item));
+            m_resultMemory.releaseReservation(reservationOf(call, item));
         }
         if (!m_tasks.contains(item.task)) {
             continue;
         }
-        if (seen.insert(item.task).second && !m_budget.take(call.pool, now)) {
-            refused.insert(item.task);
+        if (charged.insert(item.task).second && !m_budget.take(call.pool, now)) {
+            notRetried.insert(item.task);
         }
-        if (!refused.contains(item.task)) {
+        if (!notRetried.contains(item.task)) {
             requeue(item, failed);
         }
     }
-    for (const StageTaskId task : refused) {
+    for (const StageTaskId task : notRetried) {
         const auto found = m_tasks.find(task);
         if (found == m_tasks.end()) {
             continue;
         }
         effects.emplace_back(LogLine{Severity::Info,
                                      Part::Entry,
-                                     "A stage is not repeated: the budget is spent.",
+                                     "Stage not retried: retry budget exhausted.",
                                      {{"request", found->second.task.attempt}, {"pool", call.pool.text()}}});
         fail(found->second, PieceFailure::Error);
     }
@@ -540,91 +530,90 @@
     }
     PendingTask &pending = found->second;
     pending.failures += failed ? 1 : 0;
-    if (pending.failures > mostFailures * pending.task.pieces) {
+    if (pending.failures > maxFailuresPerPiece * pending.task.pieces) {
         fail(pending, PieceFailure::Error);
         return;
     }
-    if (pending.isFetched && !pending.task.inputs.empty()) {
+    if (pending.inputsReleased && !pending.task.inputs.empty()) {
         fail(pending, PieceFailure::InputGone);
         return;
     }
-    pending.fetchedAt.reset();
-    pending.waiting.push_back(item.piece);
-    m_queues[pending.task.pool].insert(orderOf(pending));
-    m_reviews[pending.task.pool].isDue = true;
+    pending.inputsFetchedAt.reset();
+    pending.waitingPieces.push_back(item.piece);
+    m_queues[pending.task.pool].insert(queueKey(pending));
+    m_scans[pending.task.pool].isRequested = true;
 }
 
 void StageScheduler::fail(PendingTask &pending, PieceFailure failure)
 {
     const StageTaskId id = pending.task.id;
-    m_queues[pending.task.pool].erase(orderOf(pending));
+    m_queues[pending.task.pool].erase(queueKey(pending));
     m_outcomes.push_back({id, 0, PieceResult{{}, failure}, {}, {}});
     m_tasks.erase(id);
 }
 
 /*
- * Answers a chain of stages whose first ones have little room for results: inputs that stay until the call that takes
- * them has ended are there for a quarter of a second longer than they are of use. A call that fails after its inputs
- * are given up costs its request a new start of the chain, which is rare.
+ * Where result memory is scarce, inputs are released once they are expected to be fetched, not when the call ends. If
+ * the call fails after that, the request has to start again from its first stage.
  */
-void StageScheduler::giveUpFetched(TimePoint now)
+void StageScheduler::releaseFetchedInputs(TimePoint now)
 {
-    while (!m_fetches.empty() && m_fetches.begin()->first <= now) {
-        const auto [due, task] = *m_fetches.begin();
-        m_fetches.erase(m_fetches.begin());
+    while (!m_fetchEstimates.empty() && m_fetchEstimates.begin()->first <= now) {
+        const auto [estimate, task] = *m_fetchEstimates.begin();
+        m_fetchEstimates.erase(m_fetchEstimates.begin());
         const auto found = m_tasks.find(task);
-        if (found == m_tasks.end() || found->second.fetchedAt != due) {
+        if (found == m_tasks.end() || found->second.inputsFetchedAt != estimate) {
             continue;
         }
-        found->second.fetchedAt.reset();
-        if (isWorthGivingUp(found->second)) {
-            giveUpInputs(found->second);
+        found->second.inputsFetchedAt.reset();
+        if (shouldReleaseEarly(found->second)) {
+            releaseInputs(found->second);
         }
     }
 }
 
-bool StageScheduler::isWorthGivingUp(const PendingTask &pending) const
+bool StageScheduler::shouldReleaseEarly(const PendingTask &pending) const
 {
     const std::vector<KeptResult> &inputs = pending.task.inputs;
-    return std::any_of(inputs.begin(), inputs.end(), m_shortOfRoom);
+    return std::any_of(inputs.begin(), inputs.end(), m_isMemoryScarce);
 }
 
-void StageScheduler::giveUpInputs(PendingTask &pending)
+void StageScheduler::releaseInputs(PendingTask &pending)
 {
-    if (std::exchange(pending.isFetched, true)) {
+    if (std::exchange(pending.inputsReleased, true)) {
         return;
     }
     const std::vector<KeptResult> &inputs = pending.task.inputs;
-    m_usedInputs.insert(m_usedInputs.end(), inputs.begin(), inputs.end());
+    m_releasedInputs.insert(m_releasedInputs.end(), inputs.begin(), inputs.end());
 }
 
 std::vector<KeptResult> StageScheduler::takeUsedInputs()
 {
-    return std::exchange(m_usedInputs, {});
+    return std::exchange(m_releasedInputs, {});
 }
 
 void StageScheduler::expire(TimePoint now, Effects &effects)
 {
-    m_room.expire(now);
-    giveUpFetched(now);
-    while (!m_expiries.empty() && m_expiries.begin()->first <= now) {
-        const StageCallNumber number = m_expiries.begin()->second;
-        m_expiries.erase(m_expiries.begin());
+    m_resultMemory.removeExpired(now);
+    releaseFetchedInputs(now);
+    while (!m_callTimeouts.empty() && m_callTimeouts.begin()->first <= now) {
+        const StageCallNumber number = m_callTimeouts.begin()->second;
+        m_callTimeouts.erase(m_callTimeouts.begin());
         const Call call = std::move(m_calls.extract(number).mapped());
         effects.emplace_back(CancelStageCall{number});
         effects.emplace_back(LogLine{Severity::Warning,
                                      Part::Entry,
-                                     "A stage call is given up: it takes much longer than expected.",
+                                     "Stage call timed out.",
                                      {{"endpoint", call.endpoint.text()},
                                       {"pool", call.pool.text()},
-                                      {"expected_ms", absl::StrCat(call.expected.count() / 1000)},
+                                      {"expected_ms", absl::StrCat(call.expectedDuration.count() / 1000)},
                                       {"items", absl::StrCat(call.items.size())}}});
-        noteSpeed(call, now);
-        // One that has answered nothing for so long is out of reach, or nearly so; each further call would wait as
-        // long.
-        m_endpoints.suspect(call.endpoint, call.started, now, effects);
+        recordDuration(call, now);
+        // An endpoint that has not answered since the call was sent is likely unreachable; further calls would time out
+        // as well.
+        m_endpoints.suspect(call.endpoint, call.startedAt, now, effects);
         m_endpoints.ended(call.endpoint, std::nullopt, now, effects);
-        giveBack(call, true, now, effects);
+        retryItems(call, true, now, effects);
     }
 }
 
@@ -635,7 +624,7 @@
 
 void StageScheduler::released(const std::string &handle)
 {
-    m_room.release(handle);
+    m_resultMemory.remove(handle);
     reviewAll();
 }
 
@@ -644,11 +633,11 @@
     std::vector<PoolWait> out;
     for (const auto &[pool, queue] : m_queues) {
         std::set<int> ranks{0};
-        for (const StageOrder &order : queue) {
-            ranks.insert(std::get<int>(order));
+        for (const QueueKey &key : queue) {
+            ranks.insert(std::get<int>(key));
         }
-        const std::vector<PoolWait> ofPool = expectedWaits(pool, {ranks.begin(), ranks.end()}, catalog, now);
-        out.insert(out.end(), ofPool.begin(), ofPool.end());
+        const std::vector<PoolWait> poolWaits = expectedWaits(pool, {ranks.begin(), ranks.end()}, catalog, now);
+        out.insert(out.end(), poolWaits.begin(), poolWaits.end());
     }
     return out;
 }
@@ -656,8 +645,8 @@
 std::optional<PoolWait> StageScheduler::expectedWait(const PoolName &pool, int rank, const Catalog &catalog,
                                                      TimePoint now)
 {
-    const std::vector<PoolWait> one = expectedWaits(pool, {rank}, catalog, now);
-    return one.empty() ? std::nullopt : std::optional{one.front()};
+    const std::vector<PoolWait> estimates = expectedWaits(pool, {rank}, catalog, now);
+    return estimates.empty() ? std::nullopt : std::optional{estimates.front()};
 }
 
 std::vector<PoolWait> StageScheduler::expectedWaits(const PoolName &pool, const std::vector<int> &ranks,
@@ -669,7 +658,7 @@
         return {};
     }
     const DrainRate rate = drainRate(*spec, usable, now);
-    const double taken = roomTaken(*spec->batch, usable);
+    const double memoryInUse = memoryUsage(*spec->batch, usable);
     const std::map<int, std::size_t> pieces = waitingByRank(pool);
     const PoolLoad &load = m_loads[pool];
     std::vector<PoolWait> out;
@@ -678,16 +667,16 @@
         for (const auto &[other, waiting] : pieces) {
             ahead += other <= rank ? waiting : 0;
         }
-        // More urgent work that arrives meanwhile goes first as well.
+        // More urgent work that arrives during the wait is served first as well.
         const double urgent =
             load.moreUrgentArrivalRate(rank, now) * std::chrono::duration<double>(rate.timePerPiece()).count();
-        const Duration wait = scaled(rate.waitBehind(ahead), 1.0 / (1.0 - std::min(urgent, mostUrgentShare)));
-        out.push_back({pool, rank, wait, rate.timePerPiece(), load.itemsPerCall(), taken});
+        const Duration wait = scaled(rate.waitBehind(ahead), 1.0 / (1.0 - std::min(urgent, maxUrgentShare)));
+        out.push_back({pool, rank, wait, rate.timePerPiece(), load.itemsPerCall(), memoryInUse});
     }
     return out;
 }
 
-/*! @brief Returns the pieces that wait for a call and can be on time, by rank. */
+/*! @brief Returns the number of waiting pieces of tasks that are not late, by rank. */
 std::map<int, std::size_t> StageScheduler::waitingByRank(const PoolName &pool) const
 {
     std::map<int, std::size_t> out;
@@ -695,11 +684,11 @@
     if (queue == m_queues.end()) {
         return out;
     }
-    for (const StageOrder &order : queue->second) {
-        if (std::get<bool>(order)) {
+    for (const QueueKey &key : queue->second) {
+        if (std::get<bool>(key)) {
             break;
         }
-        out[std::get<int>(order)] += m_tasks.at(std::get<StageTaskId>(order)).waiting.size();
+        out[std::get<int>(key)] += m_tasks.at(std::get<StageTaskId>(key)).waitingPieces.size();
     }
     return out;
 }
@@ -721,15 +710,15 @@
     const auto wake = [&first](TimePoint due) {
         first = first ? std::min(*first, due) : due;
     };
-    if (!m_expiries.empty()) {
-        wake(m_expiries.begin()->first);
+    if (!m_callTimeouts.empty()) {
+        wake(m_callTimeouts.begin()->first);
     }
-    if (!m_fetches.empty()) {
-        wake(m_fetches.begin()->first);
+    if (!m_fetchEstimates.empty()) {
+        wake(m_fetchEstimates.begin()->first);
     }
-    for (const auto &[pool, review] : m_reviews) {
-        if (review.patienceEnds && !m_queues.at(pool).empty()) {
-            wake(*review.patienceEnds);
+    for (const auto &[pool, scan] : m_scans) {
+        if (scan.zoneWaitEnds && !m_queues.at(pool).empty()) {
+            wake(*scan.zoneWaitEnds);
         }
     }
     return first;
@@ -737,16 +726,17 @@
 
 std::size_t StageScheduler::reviews() const noexcept
 {
-    return m_reviewCount;
+    return m_scanCount;
 }
 
-void StageScheduler::noteSpeed(const Call &call, TimePoint now)
+void StageScheduler::recordDuration(const Call &call, TimePoint now)
 {
     Endpoint *endpoint = m_endpoints.find(call.endpoint);
-    if (endpoint == nullptr || call.expected <= Duration::zero()) {
+    if (endpoint == nullptr || call.expectedDuration <= Duration::zero()) {
         return;
     }
-    const double ratio = static_cast<double>((now - call.started).count()) / static_cast<double>(call.expected.count());
+    const double ratio =
+        static_cast<double>((now - call.startedAt).count()) / static_cast<double>(call.expectedDuration.count());
     serving::updateSlowness(*endpoint, ratio, now);
 }
 
--- a/src/bergamottide/serving/stagescheduler.h
+++ b/src/bergamottide/serving/stagescheduler.h
@@ -11,7 +11,7 @@
 #include "bergamottide/serving/heartbeat.h"
 #include "bergamottide/serving/pendingtask.h"
 #include "bergamottide/serving/poolload.h"
-#include "bergamottide/serving/resultroom.h"
+#include "bergamottide/serving/resultmemory.h"
 #include "bergamottide/serving/retrybudget.h"
 #include "bergamottide/serving/stagetask.h"
 
@@ -28,107 +28,108 @@
 namespace bergamottide::serving {
 
 /**
- * @brief Makes calls to the endpoints of stage pools out of the pieces of many requests.
+ * @brief Batches the pieces of many requests into calls to the endpoints of stage pools.
  *
- * A call costs much the same whatever it carries, and an endpoint works on one call at a time. So pieces wait here and
- * not at the endpoint: whenever a slot is free, the most urgent pieces that wait fill one call. No call waits to be
- * filled, so an idle endpoint adds no delay, and under load calls fill by themselves.
+ * The fixed cost of a call outweighs the cost of its items, so tasks are queued here and not at the endpoints: as soon
+ * as an endpoint has a free slot, the most urgent waiting pieces are sent to it in one call. No timer delays a call to
+ * fill it: batches are small while endpoints are idle and grow with the queue.
  */
 class StageScheduler
 {
 public:
-    /*! @brief Tells if the pool that has made a result is short of room for more. */
-    using ShortOfRoom = std::function<bool(const KeptResult &result)>;
+    /*! @brief Tells whether the pool that stores a result has little memory left for further results. */
+    using MemoryPressureCheck = std::function<bool(const KeptResult &result)>;
 
     /**
      * @brief Creates a scheduler without tasks.
-     * @param endpoints Endpoints; outlive the scheduler.
-     * @param budget Bounds repeated work; outlives the scheduler.
-     * @param warmup Bound on calls to cold endpoints; outlives the scheduler.
-     * @param shortOfRoom Tells which inputs are worth to be given up before their task has ended.
+     * @param endpoints Known endpoints; must outlive the scheduler.
+     * @param budget Limits retries; must outlive the scheduler.
+     * @param warmup Limits calls to cold endpoints; must outlive the scheduler.
+     * @param paths Tracks failed fetches between zones; must outlive the scheduler.
+     * @param isMemoryScarce Selects the inputs that are released as soon as they are fetched.
      */
     StageScheduler(EndpointBoard &endpoints, RetryBudget &budget, const WarmupLimiter &warmup, FetchPaths &paths,
-                   ShortOfRoom shortOfRoom);
+                   MemoryPressureCheck isMemoryScarce);
 
     /**
-     * @brief Adds a task.
-     * @param task Task with a new identity.
-     * @param now Present time.
+     * @brief Queues a task.
+     * @param task Task with an identifier that no other task has.
+     * @param now Current time.
      */
     void submit(StageTask task, TimePoint now);
 
     /**
-     * @brief Forgets a task; results that still come of it are given up.
-     * @param task Identity.
+     * @brief Removes a task; results of its calls in progress are freed when they arrive.
+     * @param task Task to remove; unknown ones are ignored.
      */
     void cancel(StageTaskId task);
 
     /**
-     * @brief Gives up the tasks of which no piece is in a call or made, so that another scheduler can take them.
-     * @param isTakenOver Tells whether another scheduler takes the tasks of a pool.
-     * @return The tasks.
+     * @brief Removes the tasks of which no piece is in a call or done, so that another scheduler can take them over.
+     * @param isTakenOver Tells whether another scheduler takes over the queue of a pool.
+     * @return The removed tasks.
      */
     [[nodiscard]] std::vector<StageTask> handOver(const std::function<bool(const PoolName &pool)> &isTakenOver);
 
     /**
-     * @brief Sends what can be sent.
-     * @param catalog Pools in force.
-     * @param now Present time.
+     * @brief Sends waiting pieces to the endpoints that can take them.
+     * @param catalog Current pools.
+     * @param now Current time.
      * @param effects Receives the calls.
      */
     void dispatch(const Catalog &catalog, TimePoint now, Effects &effects);
 
-    /*! @brief Has all queues reviewed at the next dispatch: the pools or their endpoints have changed. */
+    /*! @brief Makes the next dispatch scan every queue; needed after pools or endpoints have changed. */
     void reviewAll();
 
     /**
-     * @brief Takes the end of a call.
-     * @param event How it ended.
-     * @param now Present time.
-     * @param effects Receives the effects.
+     * @brief Handles the end of a call: stores its results, or queues its pieces for a retry.
+     * @param event Outcome of the call.
+     * @param now Current time.
+     * @param effects Receives log lines and results to free.
      */
     void ended(const StageCallEnded &event, TimePoint now, Effects &effects);
 
     /**
-     * @brief Gives up calls that take much longer than expected; their pieces go elsewhere.
-     * @param now Present time.
-     * @param effects Receives the effects.
+     * @brief Cancels calls that have timed out and retries their pieces; drops expired results and fetched inputs.
+     * @param now Current time.
+     * @param effects Receives cancellations and log lines.
      */
     void expire(TimePoint now, Effects &effects);
 
-    /*! @brief Returns what has come about since the last call. */
+    /*! @brief Returns and clears the results and failures collected since the previous invocation. */
     [[nodiscard]] std::vector<StageOutcome> takeOutcomes();
 
     /**
-     * @brief Notes that a result has left the memory of its endpoint.
-     * @param handle Result.
+     * @brief Frees the memory accounted for a result that its endpoint no longer stores.
+     * @param handle Handle of the result.
      */
     void released(const std::string &handle);
 
-    /*! @brief Returns the inputs of tasks that no call needs any more, since the last call; they are to be given up. */
+    /*! @brief Returns and clears the inputs that no task needs any more; the caller frees them at their endpoints. */
     [[nodiscard]] std::vector<KeptResult> takeUsedInputs();
 
-    /*! @brief Returns the waits at the pools that have tasks, for each rank in their queues. */
+    /*! @brief Returns the expected waits of rank 0 and of each queued rank, for every pool that has had tasks. */
     [[nodiscard]] std::vector<PoolWait> waits(const Catalog &catalog, TimePoint now);
 
     /**
-     * @brief Estimates how long a new task waits before its first call, from the work that goes before it.
+     * @brief Estimates how long a new task waits for its first call behind the work queued before it.
      * @param pool Pool.
-     * @param rank Rank of the task.
-     * @param catalog Pools in force.
-     * @param now Present time.
-     * @return Estimate; nothing if no endpoint takes work.
+     * @param rank Priority rank of the task.
+     * @param catalog Current pools.
+     * @param now Current time.
+     * @return Estimate; nothing if no endpoint of the pool accepts work.
      */
     [[nodiscard]] std::optional<PoolWait> expectedWait(const PoolName &pool, int rank, const Catalog &catalog,
                                                        TimePoint now);
 
-    /*! @brief Returns the pools whose queue here is not empty. */
+    /*! @brief Returns the pools with a non-empty queue. */
     [[nodiscard]] std::vector<PoolName> pools() const;
 
-    /*! @brief Returns when `expire` or `dispatch` has something to do. */
+    /*! @brief Returns when `expire` or `dispatch` has to be called next; nothing if neither is pending. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
 
-    /*! @brief Returns how often a queue was reviewed for calls to send; that takes time in proportion to its length. */
+    /*! @brief Returns the number of queue scans so far; the cost of a scan is linear in the length of the queue. */
     [[nodiscard]] std::size_t reviews() const noexcept;
 
 private:
@@ -139,65 +140,67 @@
         std::uint64_t incarnation{};
         std::string address;
         std::vector<CallItem> items;
-        TimePoint started{};
-        Duration expected{};
+        TimePoint startedAt{};
+        Duration expectedDuration{};
         Duration resultTtl{};
-        TimePoint expiry{};
+        TimePoint timeoutAt{};
     };
 
-    /*! @brief When a queue was reviewed, and what calls for the next review. */
-    struct Review
+    /*! @brief Time of the last scan of a queue for calls to send, and what triggers the next one. */
+    struct QueueScan
     {
-        bool isDue{true};
+        bool isRequested{true};
         TimePoint at{};
-        /*! @brief When the first task that waits for its zone goes elsewhere. */
-        std::optional<TimePoint> patienceEnds;
+        /*! @brief When the first task that waits for an endpoint of its zone may go to any zone. */
+        std::optional<TimePoint> zoneWaitEnds;
     };
 
     void markLate(const Pool &pool, StageQueue &queue, TimePoint now);
-    void shedLate(const Pool &pool, const StageQueue &queue, const DrainRate &rate, std::size_t ahead, TimePoint now);
-    [[nodiscard]] Duration remainingTime(const PoolName &pool, TimePoint now) const;
+    void dropHopelessTasks(const Pool &pool, const StageQueue &queue, const DrainRate &rate, std::size_t ahead,
+                           TimePoint now);
+    [[nodiscard]] Duration remainingCallTime(const PoolName &pool, TimePoint now) const;
     [[nodiscard]] DrainRate drainRate(const Pool &pool, const std::vector<Endpoint *> &usable, TimePoint now);
     [[nodiscard]] std::map<int, std::size_t> waitingByRank(const PoolName &pool) const;
     [[nodiscard]] std::vector<PoolWait> expectedWaits(const PoolName &pool, const std::vector<int> &ranks,
                                                       const Catalog &catalog, TimePoint now);
-    [[nodiscard]] static bool isDue(const Review &review, TimePoint now);
-    [[nodiscard]] std::optional<TimePoint> patienceEnd(const StageQueue &queue, TimePoint now) const;
+    [[nodiscard]] static bool isScanDue(const QueueScan &scan, TimePoint now);
+    [[nodiscard]] std::optional<TimePoint> firstZoneWaitEnd(const StageQueue &queue, TimePoint now) const;
     void dispatchPool(const Pool &pool, StageQueue &queue, TimePoint now, Effects &effects);
-    void send(const Pool &pool, Endpoint &endpoint, std::vector<CallItem> items, StageQueue &queue, TimePoint now,
-              Effects &effects);
-    void noteCompany(const Call &call, const std::optional<EndpointLoad> &load, TimePoint now);
-    [[nodiscard]] static RoomShare shareOf(const Call &call, const CallItem &item);
-    void notePaths(const StageCallEnded &event, const Call &call, TimePoint now);
-    [[nodiscard]] bool isOutOfReach(const PendingTask &pending, const Call &call, TimePoint now);
-    void tryElsewhere(const std::map<StageTaskId, std::vector<CallItem>> &unreached, const Call &call, TimePoint now);
+    void sendCall(const Pool &pool, Endpoint &endpoint, std::vector<CallItem> items, StageQueue &queue, TimePoint now,
+                  Effects &effects);
+    void updateExclusivity(const Call &call, const std::optional<EndpointLoad> &load, TimePoint now);
+    [[nodiscard]] static MemoryReservation reservationOf(const Call &call, const CallItem &item);
+    void recordFetches(const StageCallEnded &event, const Call &call, TimePoint now);
+    [[nodiscard]] bool areInputsUnreachable(const PendingTask &pending, const Call &call, TimePoint now);
+    void requeueUnreachable(const std::map<StageTaskId, std::vector<CallItem>> &unreachable, const Call &call,
+                            TimePoint now);
     static void logFailures(const StageCallEnded &event, const Call &call, Effects &effects);
-    void giveBack(const Call &call, bool failed, TimePoint now, Effects &effects);
+    void retryItems(const Call &call, bool failed, TimePoint now, Effects &effects);
     void requeue(const CallItem &item, bool failed);
-    void giveUpInputs(PendingTask &pending);
-    [[nodiscard]] bool isWorthGivingUp(const PendingTask &pending) const;
-    void giveUpFetched(TimePoint now);
+    void releaseInputs(PendingTask &pending);
+    [[nodiscard]] bool shouldReleaseEarly(const PendingTask &pending) const;
+    void releaseFetchedInputs(TimePoint now);
     void fail(PendingTask &pending, PieceFailure failure);
-    void noteSpeed(const Call &call, TimePoint now);
+    void recordDuration(const Call &call, TimePoint now);
 
     EndpointBoard &m_endpoints;
     RetryBudget &m_budget;
     FetchPaths &m_paths;
-    ShortOfRoom m_shortOfRoom;
+    MemoryPressureCheck m_isMemoryScarce;
     PendingTasks m_tasks;
     std::map<PoolName, StageQueue> m_queues;
-    std::map<PoolName, Review> m_reviews;
+    std::map<PoolName, QueueScan> m_scans;
     std::map<StageCallNumber, Call> m_calls;
-    std::set<std::pair<TimePoint, StageCallNumber>> m_expiries;
-    /*! @brief Tasks whose inputs will have been fetched; some have ended or gone back to their queue since. */
-    std::set<std::pair<TimePoint, StageTaskId>> m_fetches;
-    ResultRoom m_room;
+    std::set<std::pair<TimePoint, StageCallNumber>> m_callTimeouts;
+    /*! @brief Expected fetch times of task inputs; entries of tasks that have ended or were requeued are stale. */
+    std::set<std::pair<TimePoint, StageTaskId>> m_fetchEstimates;
+    ResultMemory m_resultMemory;
     CallPlanner m_planner;
     std::vector<StageOutcome> m_outcomes;
-    std::vector<KeptResult> m_usedInputs;
+    std::vector<KeptResult> m_releasedInputs;
     std::map<PoolName, PoolLoad> m_loads;
     std::uint64_t m_nextCall{1};
-    std::size_t m_reviewCount{};
+    std::size_t m_scanCount{};
 };
 
 } // namespace bergamottide::serving
--- a/test/bergamottide/serving/stagescheduler.cpp
+++ b/test/bergamottide/serving/stagescheduler.cpp
@@ -11,32 +11,32 @@
 using namespace bergamottide::serving;
 using bergamottide::test::ServingFixture;
 
-/*! @brief How pieces of many requests become calls to endpoints that take one at a time and have little memory. */
+/*! @brief Batching of tasks into calls to endpoints with one slot and limited result memory. */
 class StageSchedulerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(StageSchedulerTest);
     CPPUNIT_TEST(waitingTasksShareTheNextCall);
-    CPPUNIT_TEST(requestIsNotSpreadOverCalls);
+    CPPUNIT_TEST(taskIsNotSplitOverCalls);
     CPPUNIT_TEST(urgentTaskGoesFirst);
-    CPPUNIT_TEST(taskThatCannotBeOnTimeGoesBehindThoseThatCan);
-    CPPUNIT_TEST(lateTaskBehindALongBacklogIsGivenUpAtOnce);
-    CPPUNIT_TEST(callWaitsForRoomWhenItWouldCarryLittle);
-    CPPUNIT_TEST(endpointWithoutRoomGetsAPause);
-    CPPUNIT_TEST(resultsOfALostCallStayAccountedUntilTheyLapse);
+    CPPUNIT_TEST(lateTaskIsServedLast);
+    CPPUNIT_TEST(lateTaskBehindALongBacklogFailsAtOnce);
+    CPPUNIT_TEST(smallCallWaitsForResultMemory);
+    CPPUNIT_TEST(endpointWithoutMemoryIsPaused);
+    CPPUNIT_TEST(memoryOfALostCallIsReservedUntilExpiry);
     CPPUNIT_TEST(resultsForACancelledTaskAreFreed);
-    CPPUNIT_TEST(fetchedInputsAreGivenUpWhereRoomIsScarce);
-    CPPUNIT_TEST(taskWhoseInputsAreGivenUpIsNotMadeAgain);
-    CPPUNIT_TEST(inputsStayWhereAnotherSchedulerHasCalls);
-    CPPUNIT_TEST(resultsToldByAProcessTakeUpRoom);
-    CPPUNIT_TEST(callThatTakesTooLongIsMadeElsewhere);
-    CPPUNIT_TEST(repeatsEndWithTheBudget);
-    CPPUNIT_TEST(taskWaitsAWhileForAnEndpointOfItsZone);
+    CPPUNIT_TEST(fetchedInputsAreReleasedWhenMemoryIsScarce);
+    CPPUNIT_TEST(taskWithReleasedInputsIsNotRetried);
+    CPPUNIT_TEST(inputsAreRetainedAtASharedEndpoint);
+    CPPUNIT_TEST(reportedResultsCountAgainstMemory);
+    CPPUNIT_TEST(timedOutCallIsRetriedElsewhere);
+    CPPUNIT_TEST(retriesEndWithTheBudget);
+    CPPUNIT_TEST(taskWaitsForItsPreferredZone);
     CPPUNIT_TEST(taskOfAZoneWithoutEndpointsDoesNotWait);
-    CPPUNIT_TEST(silentEndpointGetsNoFurtherCalls);
-    CPPUNIT_TEST(inputsOutOfReachOfOneZoneAreFetchedByAnother);
-    CPPUNIT_TEST(inputsThatAreGoneEverywhereFailTheirTask);
-    CPPUNIT_TEST(brokenPathIsTriedAgainAfterAPause);
-    CPPUNIT_TEST(burstIsServedOnTimeWhereSingleCallsAreNot);
+    CPPUNIT_TEST(unresponsiveEndpointGetsNoFurtherCalls);
+    CPPUNIT_TEST(inputsUnreachableFromOneZoneAreFetchedInAnother);
+    CPPUNIT_TEST(missingInputsFailTheTask);
+    CPPUNIT_TEST(brokenPathIsRetriedAfterAPause);
+    CPPUNIT_TEST(burstIsServedOnTimeByBatching);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -60,7 +60,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, second.front().items.size());
     }
 
-    void requestIsNotSpreadOverCalls()
+    void taskIsNotSplitOverCalls()
     {
         submit(1, 5);
         submit(2, 5);
@@ -75,14 +75,14 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"attempt-2"}, dispatch().front().items.front().attempt);
     }
 
-    void taskThatCannotBeOnTimeGoesBehindThoseThatCan()
+    void lateTaskIsServedLast()
     {
         submit(1, 8, 0, -std::chrono::milliseconds{100});
         submit(2, 8, 1);
         CPPUNIT_ASSERT_EQUAL(std::string{"attempt-2"}, dispatch().front().items.front().attempt);
     }
 
-    void lateTaskBehindALongBacklogIsGivenUpAtOnce()
+    void lateTaskBehindALongBacklogFailsAtOnce()
     {
         for (std::uint64_t task = 1; task <= 10; ++task) {
             submit(task, 8, 0, std::chrono::seconds{10});
@@ -95,7 +95,7 @@
         CPPUNIT_ASSERT(outcomes.front().result.failure == PieceFailure::Late);
     }
 
-    void callWaitsForRoomWhenItWouldCarryLittle()
+    void smallCallWaitsForResultMemory()
     {
         constexpr std::uint64_t large = 5000;
         submit(1, 4, 0, std::chrono::seconds{1}, large);
@@ -103,7 +103,7 @@
         answer(first.front());
         submit(2, 4, 0, std::chrono::seconds{1}, large);
         submit(3, 4, 0, std::chrono::seconds{1}, large);
-        // All of the memory is taken: nothing is sent, and one result given up is not yet worth a call.
+        // The result memory is full, and releasing one result does not make room for enough items.
         CPPUNIT_ASSERT(dispatch().empty());
         release(first.front(), 1);
         CPPUNIT_ASSERT(dispatch().empty());
@@ -111,7 +111,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dispatch().size());
     }
 
-    void endpointWithoutRoomGetsAPause()
+    void endpointWithoutMemoryIsPaused()
     {
         submit(1, 1);
         const auto first = dispatch();
@@ -122,7 +122,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dispatch().size());
     }
 
-    void resultsOfALostCallStayAccountedUntilTheyLapse()
+    void memoryOfALostCallIsReservedUntilExpiry()
     {
         submit(1, 4, 0, std::chrono::seconds{20}, 5000);
         const auto first = dispatch();
@@ -147,18 +147,18 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, m_endpoints.find(InstanceName{"encoder-1"})->resultBytes);
     }
 
-    void fetchedInputsAreGivenUpWhereRoomIsScarce()
+    void fetchedInputsAreReleasedWhenMemoryIsScarce()
     {
         m_inputs.push_back({"h-1", InstanceName{"other"}, "10.0.0.2:1", 100, 0});
         submit(1, 1);
         const auto first = dispatch();
         m_now += std::chrono::milliseconds{100};
         m_scheduler.expire(m_now, m_effects);
-        // Without need, the inputs stay until the task has succeeded.
+        // As long as memory is not scarce, the inputs are stored until the task has succeeded.
         CPPUNIT_ASSERT(m_scheduler.takeUsedInputs().empty());
         answer(first.front());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_scheduler.takeUsedInputs().size());
-        m_isShort = true;
+        m_isMemoryScarce = true;
         submit(2, 1);
         const auto second = dispatch();
         m_now += std::chrono::milliseconds{100};
@@ -168,13 +168,13 @@
         CPPUNIT_ASSERT(m_scheduler.takeUsedInputs().empty());
     }
 
-    void taskWhoseInputsAreGivenUpIsNotMadeAgain()
+    void taskWithReleasedInputsIsNotRetried()
     {
-        // A call that has ended shows that nobody else has calls at the endpoint.
+        // The end of a call shows that no other scheduler uses the endpoint.
         submit(2, 1);
         answer(dispatch().front());
         static_cast<void>(m_scheduler.takeOutcomes());
-        m_isShort = true;
+        m_isMemoryScarce = true;
         m_inputs.push_back({"h-1", InstanceName{"other"}, "10.0.0.2:1", 100, 0});
         submit(1, 1);
         const auto first = dispatch();
@@ -186,9 +186,9 @@
         CPPUNIT_ASSERT(outcomes.front().result.failure == PieceFailure::InputGone);
     }
 
-    void inputsStayWhereAnotherSchedulerHasCalls()
+    void inputsAreRetainedAtASharedEndpoint()
     {
-        m_isShort = true;
+        m_isMemoryScarce = true;
         submit(1, 1);
         const auto first = dispatch();
         m_scheduler.ended({first.front().call, StageCallEnd::Answered, {{"h-0", {}}}, EndpointLoad{1, 0, 1}}, m_now,
@@ -201,18 +201,18 @@
         CPPUNIT_ASSERT(m_scheduler.takeUsedInputs().empty());
     }
 
-    void resultsToldByAProcessTakeUpRoom()
+    void reportedResultsCountAgainstMemory()
     {
-        constexpr std::uint64_t most = 20'000;
-        m_held.push_back({InstanceName{"encoder-1"}, most});
+        constexpr std::uint64_t wholeMemory = 20'000;
+        m_heldResults.push_back({InstanceName{"encoder-1"}, wholeMemory});
         submit(1, 1);
         CPPUNIT_ASSERT(dispatch().empty());
-        m_held.clear();
+        m_heldResults.clear();
         submit(2, 1);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dispatch().size());
     }
 
-    void callThatTakesTooLongIsMadeElsewhere()
+    void timedOutCallIsRetriedElsewhere()
     {
         m_endpoints.update({endpoint("encoder-1"), endpoint("encoder-2")}, m_now, m_effects);
         submit(1, 1, 0, std::chrono::seconds{3});
@@ -224,10 +224,10 @@
         CPPUNIT_ASSERT(second.front().instance != first.front().instance);
     }
 
-    void repeatsEndWithTheBudget()
+    void retriesEndWithTheBudget()
     {
         submit(1, 1, 0, std::chrono::seconds{10});
-        for (int repeat = 0; repeat < 10; ++repeat) {
+        for (int retry = 0; retry < 10; ++retry) {
             const auto calls = dispatch();
             if (calls.empty()) {
                 break;
@@ -241,7 +241,7 @@
         CPPUNIT_ASSERT(outcomes.front().result.failure == PieceFailure::Error);
     }
 
-    void taskWaitsAWhileForAnEndpointOfItsZone()
+    void taskWaitsForItsPreferredZone()
     {
         m_endpoints.update({endpoint("encoder-1", "a"), endpoint("encoder-2", "b")}, m_now, m_effects);
         submit(1, 1);
@@ -266,70 +266,70 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dispatch().size());
     }
 
-    /*! @brief A partition between the owner of the queue and an endpoint, whose calls are never answered. */
-    void silentEndpointGetsNoFurtherCalls()
+    /*! @brief Covers a partition between the scheduler and an endpoint: its calls are never answered. */
+    void unresponsiveEndpointGetsNoFurtherCalls()
     {
         m_endpoints.update({endpoint("encoder-1"), endpoint("encoder-2")}, m_now, m_effects);
         submit(1, 8, 0, std::chrono::seconds{10});
-        const InstanceName silent = dispatch().at(0).instance;
+        const InstanceName unresponsive = dispatch().at(0).instance;
         m_now += std::chrono::seconds{1};
         m_scheduler.expire(m_now, m_effects);
         submit(2, 8, 0, std::chrono::seconds{10});
         submit(3, 8, 0, std::chrono::seconds{10});
         for (int round = 0; round < 3; ++round) {
             for (const StartStageCall &call : dispatch()) {
-                CPPUNIT_ASSERT(call.instance != silent);
+                CPPUNIT_ASSERT(call.instance != unresponsive);
                 answer(call);
             }
         }
     }
 
-    /*! @brief A partition between two zones: the endpoint of one reports the inputs of the other as gone. */
-    void inputsOutOfReachOfOneZoneAreFetchedByAnother()
+    /*! @brief Covers a partition between two zones: one reports the inputs stored in the other as missing. */
+    void inputsUnreachableFromOneZoneAreFetchedInAnother()
     {
-        listMakerAndTakers();
+        listTwoZones();
         m_zone = ZoneName{"b"};
         submit(1, 4);
         const auto first = dispatch();
         CPPUNIT_ASSERT_EQUAL(std::string{"encoder-b"}, first.at(0).instance.text());
-        loseInputs(first.at(0));
+        reportMissingInputs(first.at(0));
         CPPUNIT_ASSERT(m_scheduler.takeOutcomes().empty());
         m_now += std::chrono::milliseconds{250};
         const auto second = dispatch();
         CPPUNIT_ASSERT_EQUAL(std::string{"encoder-a"}, second.at(0).instance.text());
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, second.at(0).items.size());
-        // What comes next does not try the broken path, though its zone is preferred.
+        // Later tasks avoid the broken path even if they prefer its zone.
         submit(2, 4);
         CPPUNIT_ASSERT(dispatch().empty());
     }
 
-    void inputsThatAreGoneEverywhereFailTheirTask()
+    void missingInputsFailTheTask()
     {
-        listMakerAndTakers();
+        listTwoZones();
         m_zone = ZoneName{"a"};
         submit(1, 4);
-        loseInputs(dispatch().at(0));
+        reportMissingInputs(dispatch().at(0));
         const auto outcomes = m_scheduler.takeOutcomes();
         CPPUNIT_ASSERT(outcomes.at(0).result.failure == PieceFailure::InputGone);
     }
 
-    void brokenPathIsTriedAgainAfterAPause()
+    void brokenPathIsRetriedAfterAPause()
     {
-        const std::set<ZoneName> makers{ZoneName{"a"}};
+        const std::set<ZoneName> sources{ZoneName{"a"}};
         FetchPaths paths;
-        paths.note(makers, ZoneName{"b"}, false, m_now);
-        CPPUNIT_ASSERT(!paths.isBroken(makers, ZoneName{"b"}, m_now));
-        paths.note(makers, ZoneName{"b"}, false, m_now);
-        paths.note(makers, ZoneName{"b"}, false, m_now);
-        CPPUNIT_ASSERT(paths.isBroken(makers, ZoneName{"b"}, m_now));
-        CPPUNIT_ASSERT(!paths.isBroken(makers, ZoneName{"a"}, m_now));
-        CPPUNIT_ASSERT(!paths.isBroken(makers, ZoneName{"b"}, m_now + std::chrono::milliseconds{1500}));
-        paths.note(makers, ZoneName{"b"}, true, m_now);
-        CPPUNIT_ASSERT(!paths.isBroken(makers, ZoneName{"b"}, m_now));
+        paths.note(sources, ZoneName{"b"}, false, m_now);
+        CPPUNIT_ASSERT(!paths.isBroken(sources, ZoneName{"b"}, m_now));
+        paths.note(sources, ZoneName{"b"}, false, m_now);
+        paths.note(sources, ZoneName{"b"}, false, m_now);
+        CPPUNIT_ASSERT(paths.isBroken(sources, ZoneName{"b"}, m_now));
+        CPPUNIT_ASSERT(!paths.isBroken(sources, ZoneName{"a"}, m_now));
+        CPPUNIT_ASSERT(!paths.isBroken(sources, ZoneName{"b"}, m_now + std::chrono::milliseconds{1500}));
+        paths.note(sources, ZoneName{"b"}, true, m_now);
+        CPPUNIT_ASSERT(!paths.isBroken(sources, ZoneName{"b"}, m_now));
     }
 
-    /*! @brief Somewhat more load than calls of one request each could carry, for six seconds, with scarce room. */
-    void burstIsServedOnTimeWhereSingleCallsAreNot()
+    /*! @brief More load than calls with one request each could serve, while result memory is scarce. */
+    void burstIsServedOnTimeByBatching()
     {
         m_endpoints.update({endpoint("encoder-1"), endpoint("encoder-2"), endpoint("encoder-3")}, m_now, m_effects);
         constexpr Duration step = std::chrono::milliseconds{10};
@@ -337,19 +337,19 @@
         constexpr int stepsPerRequest = 5;
         std::multimap<TimePoint, StartStageCall> running;
         std::multimap<TimePoint, std::string> used;
-        std::map<std::string, TimePoint> dues;
+        std::map<std::string, TimePoint> latestCompletions;
         int onTime = 0;
         for (int count = 0; count < steps; ++count) {
             if (count % stepsPerRequest == 0) {
                 const std::uint64_t id = static_cast<std::uint64_t>(count) / stepsPerRequest + 1;
                 submit(id, 1 + static_cast<std::uint32_t>(id % 3), 0, std::chrono::milliseconds{600}, 1500);
-                dues["attempt-" + std::to_string(id)] = m_now + std::chrono::milliseconds{1000};
+                latestCompletions["attempt-" + std::to_string(id)] = m_now + std::chrono::milliseconds{1000};
             }
             for (auto next = running.begin(); next != running.end() && next->first <= m_now;) {
                 answer(next->second);
                 for (std::size_t item = 0; item < next->second.items.size(); ++item) {
-                    const StageItem &made = next->second.items[item];
-                    onTime += made.piece == 0 && m_now <= dues[made.attempt] ? 1 : 0;
+                    const StageItem &stageItem = next->second.items[item];
+                    onTime += stageItem.piece == 0 && m_now <= latestCompletions[stageItem.attempt] ? 1 : 0;
                     used.emplace(m_now + std::chrono::milliseconds{200}, handleOf(next->second, item));
                 }
                 next = running.erase(next);
@@ -364,8 +364,8 @@
             }
             m_now += step;
         }
-        // One request a call: three endpoints make 3 / 0.17 s = 18 calls a second of the 20 requests that arrive, and
-        // the backlog of 2 a second passes the 600 ms of slack after some seconds. In full calls all of them fit.
+        // With one request in each call, three endpoints serve 18 of the 20 requests that arrive each second, and the
+        // backlog exceeds the slack of 600 ms within seconds.
         CPPUNIT_ASSERT(onTime >= 110);
     }
 
@@ -390,21 +390,21 @@
         task.resultBytes = bytes;
         task.zone = m_zone;
         task.inputs = m_inputs;
-        task.held = m_held;
+        task.held = m_heldResults;
         m_scheduler.submit(std::move(task), m_now);
     }
 
-    /*! @brief Lists an endpoint in each of two zones, and one in the first that has made the inputs of all tasks. */
-    void listMakerAndTakers()
+    /*! @brief Lists an encoder in zones a and b, and an endpoint in zone a that stores the inputs of all tasks. */
+    void listTwoZones()
     {
-        EndpointRecord maker = endpoint("maker", "a");
-        maker.pool = PoolName{"rerankers"};
-        m_endpoints.update({endpoint("encoder-a", "a"), endpoint("encoder-b", "b"), maker}, m_now, m_effects);
-        m_inputs = {{"10.0.0.1:1/h", InstanceName{"maker"}, "10.0.0.1:1", 1000, 1}};
+        EndpointRecord source = endpoint("source", "a");
+        source.pool = PoolName{"rerankers"};
+        m_endpoints.update({endpoint("encoder-a", "a"), endpoint("encoder-b", "b"), source}, m_now, m_effects);
+        m_inputs = {{"10.0.0.1:1/h", InstanceName{"source"}, "10.0.0.1:1", 1000, 1}};
     }
 
-    /*! @brief Has a call report the inputs of all its items as gone. */
-    void loseInputs(const StartStageCall &call)
+    /*! @brief Ends a call with missing inputs for all of its items. */
+    void reportMissingInputs(const StartStageCall &call)
     {
         StageCallEnded ended{call.call, StageCallEnd::Answered, {}};
         ended.results.assign(call.items.size(), PieceResult{{}, PieceFailure::InputGone});
@@ -456,12 +456,12 @@
         return 0U;
     }};
     StageScheduler m_scheduler{m_endpoints, m_budget, m_warmup, m_paths, [this](const KeptResult &) {
-                                   return m_isShort;
+                                   return m_isMemoryScarce;
                                }};
-    bool m_isShort{};
+    bool m_isMemoryScarce{};
     ZoneName m_zone;
     std::vector<KeptResult> m_inputs;
-    std::vector<HeldResults> m_held;
+    std::vector<HeldResults> m_heldResults;
     Effects m_effects;
 };
 
