--- a/src/bergamottide/serving/events.h
+++ b/src/bergamottide/serving/events.h
@@ -19,53 +19,58 @@
 #include <variant>
 #include <vector>
 
+/**
+ * @file
+ * @brief Events that `ServingReducer` takes and effects that it returns.
+ */
 namespace bergamottide::serving {
 
-/*! @brief One run of a request at an endpoint, as this process numbers it. */
+/*! @brief Identifies one run of a request at an endpoint; unique within this process. */
 enum class RunNumber : std::uint64_t
 {
 };
 
-/*! @brief One call to an endpoint of a stage pool. */
+/*! @brief Identifies one call to an endpoint of a stage pool; unique within this process. */
 enum class StageCallNumber : std::uint64_t
 {
 };
 
 using engines::PromptPart;
 
-/*! @brief A caller's request, decoded. */
+/*! @brief Decoded request of a caller. */
 struct CallerRequest
 {
     CallId call{};
-    /*! @brief Identity of this attempt of the caller; goes to the endpoint unchanged. */
+    /*! @brief Identity of the caller's attempt; forwarded to the endpoint unchanged. */
     std::string attempt;
     std::string method;
     std::string host;
-    /*! @brief Path with the query, unchanged. */
+    /*! @brief Path and query as received. */
     std::string target;
-    /*! @brief Path without the query. */
+    /*! @brief Path without query. */
     std::string path;
-    /*! @brief Header lines that go to the endpoint unchanged. */
+    /*! @brief Headers that are forwarded to the endpoint unchanged. */
     HttpHeaders headers;
     std::string body;
-    /*! @brief Time that the caller will wait, from arrival. */
+    /*! @brief How long the caller waits for the response, counted from arrival. */
     std::optional<Duration> deadline;
+    /*! @brief API key of the workspace. */
     std::string key;
-    /*! @brief Model that is to generate; empty if the request names none. */
+    /*! @brief Requested model; empty if the request names none. */
     std::string model;
-    /*! @brief Length of the whole prompt, and the most that may be generated. */
+    /*! @brief Length of the prompt, and the upper bound on generated tokens. */
     std::uint64_t promptTokens{};
     std::uint64_t outputTokens{};
     std::vector<PromptPart> prompt;
-    /*! @brief Number of pieces of each stage; missing ones are zero. */
+    /*! @brief Number of pieces of each stage, by position of the stage; zero for stages beyond the end. */
     std::vector<std::uint32_t> pieces;
-    /*! @brief Input of stages that wait for no other. */
+    /*! @brief Input key for stages without dependencies. */
     std::string pieceKey;
-    /*! @brief Last event that the caller has got of an earlier attempt. */
+    /*! @brief Last event ID that the caller received on an earlier attempt (`Last-Event-ID`). */
     std::string lastEvent;
 };
 
-/*! @brief An endpoint as the platform lists it. */
+/*! @brief Entry of the platform's endpoint list. */
 struct EndpointRecord
 {
     InstanceName instance;
@@ -73,18 +78,18 @@
     std::string address;
     ZoneName zone;
     std::uint32_t slots{1};
-    /*! @brief Takes no new work. */
+    /*! @brief Accepts no new work. */
     bool draining{};
-    /*! @brief Sets one start of the instance apart from the next; zero if the platform does not tell. */
+    /*! @brief Changes with each start of the instance; zero if unknown. */
     std::uint64_t incarnation{};
-    /*! @brief How much longer it stays cold, from the writing of its entry; zero if it is warm. */
+    /*! @brief Remaining warm-up time when the entry was written; zero if warm. */
     Duration coldLeft{};
-    /*! @brief When it is warm, by the clock of this process; set by the directory. */
+    /*! @brief End of the warm-up by the local clock; set by `EndpointDirectory`. */
     TimePoint coldUntil{};
-    /*! @brief Its zone is evacuated, so that it takes no new work; set by the directory. */
+    /*! @brief Its availability zone is evacuated, so it accepts no new work; set by `EndpointDirectory`. */
     bool isEvacuated{};
 
-    /*! @brief Tells if new work may go there. */
+    /*! @brief Returns whether new work may be sent to it. */
     [[nodiscard]] bool takesWork() const noexcept
     {
         return !draining && !isEvacuated;
@@ -93,7 +98,7 @@
 
 using EndpointList = std::vector<EndpointRecord>;
 
-/*! @brief Load that an endpoint tells of itself. */
+/*! @brief Load reported by an endpoint. */
 struct EndpointLoad
 {
     std::uint32_t running{};
@@ -101,78 +106,78 @@
     std::uint32_t slots{};
 };
 
-/*! @brief What the head of an endpoint's answer says. */
+/*! @brief Status and headers of an endpoint's response, decoded. */
 struct EndpointAnswerHead
 {
     int status{};
-    /*! @brief Header lines that go to the caller unchanged. */
+    /*! @brief Headers that are forwarded to the caller unchanged. */
     HttpHeaders headers;
-    /*! @brief The endpoint states that it did not run the request. */
+    /*! @brief The endpoint states that it did not execute the request. */
     bool notExecuted{};
-    /*! @brief It did not run since results that it was to fetch are gone; another endpoint would find them gone too. */
+    /*! @brief Not executed because input results no longer exist; another endpoint would fail the same way. */
     bool inputsGone{};
-    /*! @brief The answer names another request. */
+    /*! @brief The response belongs to another request. */
     bool foreign{};
-    /*! @brief Signed by the endpoint and without an encoding of its own: a success may be passed on. */
+    /*! @brief Signed by the endpoint and without a content encoding; a success is forwarded only if set. */
     bool sealed{};
     std::optional<EndpointLoad> load;
-    /*! @brief How much longer the endpoint stays cold, if it tells. */
+    /*! @brief Remaining warm-up time; zero if not reported. */
     Duration coldLeft{};
 };
 
-/*! @brief Why a run ended without a whole answer. */
+/*! @brief Why a run ended without a complete response. */
 enum class RunFailure : std::uint8_t
 {
-    /*! @brief No connection: nothing was sent. */
+    /*! @brief The connection could not be established; nothing was sent. */
     Unreached,
-    /*! @brief The connection broke, or the answer cannot be trusted; the run may have taken place. */
+    /*! @brief The connection was lost or the response is invalid; the request may have been executed. */
     Broken
 };
 
-/*! @brief Event: a caller's request has been read. */
+/*! @brief Event: a request has been received from a caller. */
 struct RequestArrived
 {
     CallerRequest request;
 };
 
-/*! @brief Event: a caller's connection has closed before its answer was whole. */
+/*! @brief Event: a caller has disconnected before its response was complete. */
 struct CallerLeft
 {
     CallId call{};
 };
 
-/*! @brief Event: the head of an answer has come. */
+/*! @brief Event: the response headers of a run have been received. */
 struct RunAnswered
 {
     RunNumber run{};
     EndpointAnswerHead head;
 };
 
-/*! @brief Event: a piece of the answer's body has come. */
+/*! @brief Event: part of the response body of a run has been received. */
 struct RunReceived
 {
     RunNumber run{};
     std::string bytes;
 };
 
-/*! @brief Event: the answer is whole. */
+/*! @brief Event: the response of a run is complete. */
 struct RunEnded
 {
     RunNumber run{};
 };
 
-/*! @brief Event: the run failed before its answer was whole. */
+/*! @brief Event: a run has failed before its response was complete. */
 struct RunFailed
 {
     RunNumber run{};
     RunFailure failure{};
 };
 
-/*! @brief How a stage call ended. */
+/*! @brief Outcome of a stage call. */
 enum class StageCallEnd : std::uint8_t
 {
     Answered,
-    /*! @brief The endpoint took no work: it is full, or it is another instance. */
+    /*! @brief The endpoint accepted no work: it is full, or another instance runs at its address. */
     Rejected,
     Unreached,
     Broken
@@ -183,13 +188,13 @@
 {
     StageCallNumber call{};
     StageCallEnd end{};
-    /*! @brief In the order of the items, if answered. */
+    /*! @brief One result for each item, in their order; empty unless answered. */
     std::vector<PieceResult> results;
-    /*! @brief Load that the endpoint told with its answer. */
+    /*! @brief Load that the endpoint reported with its response. */
     std::optional<EndpointLoad> load;
 };
 
-/*! @brief Event: another version of what is served is in force. */
+/*! @brief Event: another version of the catalog is in effect. */
 struct CatalogChanged
 {
     std::shared_ptr<const Catalog> catalog;
@@ -201,48 +206,49 @@
     std::shared_ptr<const EndpointList> endpoints;
 };
 
-/*! @brief A task of a peer, as this process numbers it. */
+/*! @brief Identifies a task that a peer has submitted; unique within this process. */
 enum class PeerTaskNumber : std::uint64_t
 {
 };
 
-/*! @brief Event: a peer asks for the pieces of a stage whose queue is kept here. */
+/*! @brief Event: a peer submits a stage task to a queue that this process owns. */
 struct PeerTaskArrived
 {
     PeerTaskNumber number{};
     StageTask task;
 };
 
-/*! @brief Event: the peer no longer waits for its task. */
+/*! @brief Event: a peer no longer waits for a task that it submitted. */
 struct PeerTaskGone
 {
     PeerTaskNumber number{};
 };
 
-/*! @brief Event: a task handed to a peer has ended there. */
+/*! @brief Event: a task delegated to a peer has ended. */
 struct HandedTaskEnded
 {
     StageTaskId task{};
     InstanceName peer;
-    /*! @brief One for each piece, or one failure; empty if the peer was not reached, fell silent or gave it back. */
+    /*! @brief One for each piece, or a single failure; empty if the peer was unreachable, stopped responding or
+     * returned the task. */
     std::vector<StageOutcome> outcomes;
-    /*! @brief The peer gave it back undone, since it does not keep the queue any more. */
+    /*! @brief The peer returned the task unprocessed because it no longer owns the queue. */
     bool isGivenBack{};
 };
 
-/*! @brief Event: a peer has told of itself. */
+/*! @brief Event: a heartbeat of a peer has been received. */
 struct HeartbeatHeard
 {
     Heartbeat heartbeat;
 };
 
-/*! @brief Event: a peer has given up results that are accounted for here. */
+/*! @brief Event: a peer has freed results whose memory this process accounts for. */
 struct PeerReleased
 {
     std::vector<std::string> handles;
 };
 
-/*! @brief Event: settings that may change while the process runs have changed. */
+/*! @brief Event: settings that can be reloaded at run time have changed. */
 struct SettingsChanged
 {
     /*! @brief Addresses of some peers. */
@@ -250,12 +256,12 @@
     RetryBudgetOptions retries;
 };
 
-/*! @brief Event: the process is to end once it has no requests. */
+/*! @brief Event: the process is to stop once no request is in progress. */
 struct DrainRequested
 {
 };
 
-/*! @brief Event: time has passed. */
+/*! @brief Event: a timer has fired; expired timeouts and due work are handled. */
 struct Tick
 {
 };
@@ -264,30 +270,30 @@
                            CatalogChanged, EndpointsChanged, PeerTaskArrived, PeerTaskGone, HandedTaskEnded,
                            HeartbeatHeard, PeerReleased, SettingsChanged, DrainRequested, Tick>;
 
-/*! @brief What an answer made here says. */
+/*! @brief Kind of an error response that this process sends instead of an endpoint. */
 enum class AnswerKind : std::uint8_t
 {
-    /*! @brief The request has not run and never will; come back later. */
+    /*! @brief The request was not executed and will not be; the caller may retry after a while. */
     Unavailable,
-    /*! @brief It is not known whether the request ran; its time is over. */
+    /*! @brief The deadline has passed; the request may have been executed. */
     TimedOut,
-    /*! @brief It is not known whether the request ran; its endpoint failed. */
+    /*! @brief The endpoint failed; the request may have been executed. */
     BadGateway,
     NoRoute,
     UnknownKey,
     BadRequest
 };
 
-/*! @brief Effect: a whole answer made here goes to the caller. */
+/*! @brief Effect: sends an error response to the caller. */
 struct RefuseCaller
 {
     CallId call{};
     AnswerKind kind{};
-    /*! @brief When to come back, for `Unavailable`. */
+    /*! @brief Suggested delay before a retry; set for `Unavailable` only. */
     Duration retryAfter{};
 };
 
-/*! @brief Effect: an endpoint's whole answer goes to the caller. */
+/*! @brief Effect: sends a complete endpoint response to the caller. */
 struct AnswerCaller
 {
     CallId call{};
@@ -296,7 +302,7 @@
     std::string body;
 };
 
-/*! @brief Effect: the head of an endpoint's stream goes to the caller. */
+/*! @brief Effect: sends the status and headers of a streaming response to the caller. */
 struct BeginStream
 {
     CallId call{};
@@ -304,64 +310,67 @@
     HttpHeaders headers;
 };
 
-/*! @brief Effect: whole events of a stream go to the caller. */
+/*! @brief Effect: sends complete events of a stream to the caller. */
 struct StreamEvents
 {
     CallId call{};
     std::string bytes;
 };
 
-/*! @brief Effect: a stream is complete. */
+/*! @brief Effect: ends a stream normally. */
 struct FinishStream
 {
     CallId call{};
 };
 
-/*! @brief Effect: a stream ends so that the caller sees it as broken off. */
+/*! @brief Effect: closes a stream so that the caller sees it as incomplete. */
 struct AbortStream
 {
     CallId call{};
 };
 
-/*! @brief Effect: a request goes to an endpoint. */
+/*! @brief Effect: sends a request to an endpoint. */
 struct StartRun
 {
     RunNumber run{};
     InstanceName instance;
     std::string address;
-    /*! @brief Time left for it. */
+    /*! @brief Time until the response has to be complete. */
     Duration deadline{};
     WorkspaceName workspace;
-    /*! @brief Rank for the engine's own queue; negative for none. */
+    /*! @brief Priority in the engine's own queue, zero being the most urgent; negative for none. */
     int urgency{-1};
-    /*! @brief Results that the engine fetches. */
+    /*! @brief Handles of the results that the engine fetches as inputs. */
     std::vector<std::string> inputs;
-    /*! @brief Address of an engine from which it fetches parts of the prompt; empty for none. */
+    /*! @brief Address of an engine from which cached parts of the prompt are fetched; empty for none. */
     std::string fetchFrom;
+    /*! @brief ID of the last event already sent to the caller; the stream resumes after it. */
     std::string lastEvent;
+    /*! @brief The request may be executed more than once. */
     bool mayRunTwice{};
     std::shared_ptr<const CallerRequest> request;
 };
 
-/*! @brief Effect: the connection of a run is closed. */
+/*! @brief Effect: closes the connection of a run. */
 struct CancelRun
 {
     RunNumber run{};
 };
 
-/*! @brief One item of a stage call. */
+/*! @brief Item of a stage call: one piece of a stage of a request. */
 struct StageItem
 {
     std::string attempt;
     std::uint32_t stage{};
     std::uint32_t piece{};
+    /*! @brief Time until its result is no longer of use. */
     Duration left{};
-    /*! @brief Key of the caller; for stages that wait for no other. */
+    /*! @brief Input key of the request; set for stages without dependencies. */
     std::string key;
     std::vector<std::string> inputs;
 };
 
-/*! @brief Effect: items go to an endpoint of a stage pool. */
+/*! @brief Effect: sends items to an endpoint of a stage pool. */
 struct StartStageCall
 {
     StageCallNumber call{};
@@ -371,53 +380,53 @@
     std::vector<StageItem> items;
 };
 
-/*! @brief Effect: the connection of a stage call is closed. */
+/*! @brief Effect: closes the connection of a stage call. */
 struct CancelStageCall
 {
     StageCallNumber call{};
 };
 
-/*! @brief Effect: results are given up at the endpoint that keeps them. */
+/*! @brief Effect: frees results at the endpoint that stores them. */
 struct FreeResults
 {
     std::string address;
     std::vector<std::string> handles;
 };
 
-/*! @brief Effect: a stage's pieces are asked of the peer that keeps the queue. */
+/*! @brief Effect: delegates a stage task to the peer that owns the pool's queue. */
 struct HandTask
 {
     PeerInfo peer;
     StageTask task;
 };
 
-/*! @brief Effect: a task handed to a peer is no longer wanted. */
+/*! @brief Effect: cancels a task that was delegated to a peer. */
 struct RecallTask
 {
     StageTaskId task{};
 };
 
-/*! @brief Effect: a peer's task has ended. */
+/*! @brief Effect: returns the outcomes of a peer's task to it; no outcomes return the task unprocessed. */
 struct AnswerPeerTask
 {
     PeerTaskNumber number{};
     std::vector<StageOutcome> outcomes;
 };
 
-/*! @brief Effect: a peer is told of results that were given up. */
+/*! @brief Effect: notifies a peer that results have been freed. */
 struct TellReleased
 {
     PeerInfo peer;
     std::vector<std::string> handles;
 };
 
-/*! @brief Effect: a heartbeat is due at an address. */
+/*! @brief Effect: sends a heartbeat to an address. */
 struct SendHeartbeat
 {
     std::string address;
 };
 
-/*! @brief Effect: the process has no requests left and may end. */
+/*! @brief Effect: no request is left; the process may stop. */
 struct Drained
 {
 };
