--- a/src/bergamottide/serving/catalog.cpp
+++ b/src/bergamottide/serving/catalog.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/*! @brief Sets the level of a stage and of the stages it waits for; `depth` bounds a cycle. */
-void raise(std::vector<StageSpec> &stages, std::size_t stage, std::uint32_t level, std::size_t depth)
+/*! @brief Raises the level of a stage and, recursively, of its dependencies; `depth` ends the recursion on a cycle. */
+void raiseLevels(std::vector<StageSpec> &stages, std::size_t stage, std::uint32_t level, std::size_t depth)
 {
     if (depth > stages.size()) {
         return;
@@ -21,11 +21,11 @@
             continue;
         }
         stages[before].isLeaf = false;
-        raise(stages, before, level + 1, depth + 1);
+        raiseLevels(stages, before, level + 1, depth + 1);
     }
 }
 
-std::string hostKey(std::string_view host)
+std::string normalizedHost(std::string_view host)
 {
     return absl::AsciiStrToLower(absl::string_view{host.data(), host.size()});
 }
@@ -43,20 +43,20 @@
 
 void Catalog::index()
 {
-    routesOfHost.clear();
+    routesByHost.clear();
     for (std::size_t position = 0; position < routes.size(); ++position) {
         Route &route = routes[position];
-        routesOfHost[hostKey(route.host)].push_back(position);
+        routesByHost[normalizedHost(route.host)].push_back(position);
         for (std::size_t stage = 0; stage < route.stages.size(); ++stage) {
-            raise(route.stages, stage, 1, 0);
+            raiseLevels(route.stages, stage, 1, 0);
         }
     }
 }
 
 const Route *Catalog::find(std::string_view host, std::string_view path) const
 {
-    const auto found = routesOfHost.find(hostKey(host));
-    if (found == routesOfHost.end()) {
+    const auto found = routesByHost.find(normalizedHost(host));
+    if (found == routesByHost.end()) {
         return nullptr;
     }
     const Route *best = nullptr;
--- a/src/bergamottide/serving/catalog.h
+++ b/src/bergamottide/serving/catalog.h
@@ -14,60 +14,64 @@
 
 namespace bergamottide::serving {
 
-/*! @brief What a repetition of a request may do. */
+/*! @brief Kind of a route: how it responds and whether its requests may be repeated. */
 enum class RouteKind : std::uint8_t
 {
-    /*! @brief A plain call that may run more than once. */
+    /*! @brief Plain call that may be executed more than once. */
     Idempotent,
-    /*! @brief A plain call that runs at most once for each attempt of the caller. */
+    /*! @brief Plain call that is executed at most once for each attempt of the caller. */
     NonIdempotent,
-    /*! @brief A generation answered by a stream of events. */
+    /*! @brief Generation with a response of server-sent events. */
     Streaming
 };
 
-/*! @brief One stage of a route: work that must be done before the route's own pool can run the request. */
+/**
+ * @brief One stage of a route: preprocessing that must complete before the route's own pool can run the request.
+ *
+ * Each request states of how many independent pieces the stage consists.
+ */
 struct StageSpec
 {
     PoolName pool;
-    /*! @brief Positions of the stages whose results it takes as inputs. */
+    /*! @brief Positions of the stages whose results are its inputs. */
     std::vector<std::uint32_t> after;
-    /*! @brief Approximate size of one result. */
+    /*! @brief Approximate size of one result, in bytes. */
     std::uint64_t resultBytes{};
-    /*! @brief Stages on the longest path from here to the end, this one included; the last stage of a path has one. */
+    /*! @brief Number of stages on the longest path from this stage to the end, itself included; one for a leaf. */
     std::uint32_t level{1};
-    /*! @brief No other stage takes its results: the route's own pool does. */
+    /*! @brief No other stage depends on it; its results are inputs of the route's own pool. */
     bool isLeaf{true};
 };
 
-/*! @brief A pool that takes a share of a route's requests. */
+/*! @brief Pool with its share of a route's requests. */
 struct WeightedPool
 {
     PoolName pool;
     std::uint32_t weight{1};
 };
 
-/*! @brief Requests of one host and path prefix, and what holds for them. */
+/*! @brief Route: matches requests by host and path prefix and defines how they are served. */
 struct Route
 {
     std::string name;
     std::string host;
     std::string pathPrefix;
     RouteKind kind{};
-    /*! @brief Longest time for which a request may be kept waiting. */
+    /*! @brief Time from arrival after which a request is given up. */
     Duration timeout{};
-    /*! @brief Time within which an answer, or the first event of a stream, is on time. */
+    /*! @brief Time from arrival within which the response, or the first event of a stream, is on time. */
     Duration objective{};
-    /*! @brief Rank; zero is the most urgent. */
+    /*! @brief Priority within the workspace; zero is the most urgent. */
     int priority{};
     std::vector<WeightedPool> pools;
-    /*! @brief Endpoints to which one attempt of a caller may be sent. */
+    /*! @brief Maximum number of endpoints that may execute one attempt of a caller. */
     std::uint32_t maxAttempts{1};
     std::vector<StageSpec> stages;
-    /*! @brief Needs no key of a workspace. */
+    /*! @brief Requests need no API key. */
     bool isPublic{};
-    /*! @brief A stream may go on at another endpoint behind the last event. */
+    /*! @brief After a failure, another endpoint may resume a stream after its last event. */
     bool isResumable{};
-    /*! @brief Regions whose endpoints may run it; empty for any. */
+    /*! @brief Regions whose endpoints may run its requests; empty for any. */
     std::vector<RegionName> regions;
 
     [[nodiscard]] bool mayRunTwice() const noexcept
@@ -75,68 +79,73 @@
         return kind == RouteKind::Idempotent || (kind == RouteKind::Streaming && isResumable);
     }
 
-    /*! @brief Returns the highest level of its stages; zero without stages. */
+    /*! @brief Returns the highest level of the stages; zero without stages. */
     [[nodiscard]] std::uint32_t topLevel() const noexcept;
 };
 
-/*! @brief How the endpoints of a stage pool work. */
+/*! @brief Batching and cost model of a stage pool's endpoints. */
 struct BatchSpec
 {
+    /*! @brief Calls that an endpoint processes at a time. */
     std::uint32_t slots{1};
-    /*! @brief Items of one call at most. */
+    /*! @brief Maximum number of items in one call. */
     std::uint32_t batch{1};
-    /*! @brief Approximate time of a call, whatever it carries. */
+    /*! @brief Approximate fixed time of a call. */
     Duration callTime{};
     /*! @brief Approximate additional time of each item. */
     Duration itemTime{};
     /*! @brief Memory of an endpoint for results, in bytes. */
     std::uint64_t resultRoom{};
-    /*! @brief Time for which a result is kept. */
+    /*! @brief Time for which an endpoint stores a result. */
     Duration resultTtl{};
-    /*! @brief Bytes a second at which an endpoint fetches inputs; zero if not known. */
+    /*! @brief Rate at which an endpoint fetches inputs, in bytes per second; zero if unknown. */
     double fetchRate{};
 };
 
-/*! @brief How the engines of a model pool work. */
+/*! @brief Properties of a model pool's engines. */
 struct EngineSpec
 {
     std::uint32_t slots{1};
+    /*! @brief Capacity of the prompt cache, in tokens. */
     std::uint64_t cacheTokens{};
-    /*! @brief Speed at which engines fetch prompts from each other, in tokens a second; zero if they cannot. */
+    /*! @brief Rate at which engines fetch cached prompts from each other, in tokens per second; zero if they cannot. */
     double fetchRate{};
 };
 
-/*! @brief How the endpoints of a pool behave after their start. */
+/*! @brief Load limit of a pool's endpoints after their start. */
 struct WarmupSpec
 {
-    /*! @brief Time for which an endpoint is cold. */
+    /*! @brief Time from its start for which an endpoint is cold. */
     Duration time{};
-    /*! @brief Requests a second that a cold endpoint bears, from the whole fleet; well above that it crashes. */
+    /*! @brief Requests per second that a cold endpoint can take from all processes together; it crashes well above
+     * that. */
     double perSecond{};
 };
 
-/*! @brief A pool of endpoints. */
+/*! @brief Pool of endpoints that do the same work. */
 struct Pool
 {
     PoolName name;
     std::uint32_t maxConnections{};
+    /*! @brief Set for stage pools. */
     std::optional<BatchSpec> batch;
+    /*! @brief Set for model pools. */
     std::optional<EngineSpec> engine;
-    /*! @brief Nothing if its endpoints take any load at once. */
+    /*! @brief Empty if endpoints take full load right after their start. */
     std::optional<WarmupSpec> warmup;
 };
 
-/*! @brief A workspace, as found by a key. */
+/*! @brief Workspace (customer) that an API key identifies. */
 struct Workspace
 {
     WorkspaceName name;
-    /*! @brief Rank that goes before the route's; zero is the most urgent. */
+    /*! @brief Priority that outweighs that of the route; zero is the most urgent. */
     int priority{};
     /*! @brief Regions whose endpoints may run its requests; empty for any. */
     std::vector<RegionName> regions;
 };
 
-/*! @brief Limits on callers' connections. */
+/*! @brief Limits on caller connections. */
 struct CallerLimits
 {
     std::size_t maxHeadBytes{16U << 10U};
@@ -144,31 +153,31 @@
     Duration idleTimeout{std::chrono::seconds{15}};
 };
 
-/*! @brief One version of what is served: routes, pools and workspaces. */
+/*! @brief One version of the configuration of routes, pools and workspaces. */
 struct Catalog
 {
     std::uint64_t version{};
     std::vector<Route> routes;
-    /*! @brief Positions of the routes of each host. */
-    absl::flat_hash_map<std::string, std::vector<std::size_t>> routesOfHost;
+    /*! @brief Positions of the routes of each host, in lower case. */
+    absl::flat_hash_map<std::string, std::vector<std::size_t>> routesByHost;
     absl::flat_hash_map<std::string, Pool> pools;
     absl::flat_hash_map<std::string, Workspace> workspaceOfKey;
-    /*! @brief Callers have to show a key, but on public routes. */
+    /*! @brief Requests need an API key, except on public routes. */
     bool needsKeys{};
     CallerLimits limits;
 
-    /*! @brief Fills what follows from routes: the index of hosts and the levels of stages. */
+    /*! @brief Computes what is derived from `routes`: the host index, and the levels and leaves of stages. */
     void index();
 
     /**
-     * @brief Finds the route of a request.
-     * @param host Host without port.
+     * @brief Finds the route for a request.
+     * @param host Host without port; case-insensitive.
      * @param path Path without query.
-     * @return Route with the longest prefix that begins the path, or null.
+     * @return Route with the longest matching path prefix, or null.
      */
     [[nodiscard]] const Route *find(std::string_view host, std::string_view path) const;
 
-    /*! @brief Returns a pool, or null. */
+    /*! @brief Returns the pool with this name, or null. */
     [[nodiscard]] const Pool *pool(const PoolName &name) const;
 };
 
