--- a/src/bergamottide/serving/servingsettings.cpp
+++ b/src/bergamottide/serving/servingsettings.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 constexpr YamlLimits settingsLimits{.bytes = 1U << 16U, .depth = 4, .nodes = 1000};
-constexpr std::size_t mostSeeds = 16;
-constexpr std::size_t mostZones = 200;
-constexpr Duration longestGrace = std::chrono::minutes{10};
-constexpr Duration longestWindow = std::chrono::minutes{10};
-constexpr double mostSlack = 1e6;
-constexpr double mostCores = 1024.0;
-constexpr double mostMbps = 1e6;
-/*! @brief Bandwidth that goes with a core: an owner of queues sends calls of some kilobytes, each for a millisecond of
- * work. An estimate. */
-constexpr double mbpsOfCore = 200.0;
+constexpr std::size_t maxSeeds = 16;
+constexpr std::size_t maxZones = 200;
+constexpr Duration maxGracePeriod = std::chrono::minutes{10};
+constexpr Duration maxRetryWindow = std::chrono::minutes{10};
+constexpr double maxRetrySlack = 1e6;
+constexpr double maxProcessorShare = 1024.0;
+constexpr double maxLinkMbps = 1e6;
+/*! @brief Bandwidth that one core of work needs: a queue owner sends some kilobytes for each millisecond of processor
+ * time. */
+constexpr double linkMbpsPerCore = 200.0;
 
 } // namespace
 
@@ -30,29 +30,29 @@
         scalarField("instance", &S::instance, nameType<InstanceName>(), required, "Name of the instance."),
         scalarField("zone", &S::zone, nameType<ZoneName>(), required, "Availability zone of the instance."),
         scalarField("region", &S::region, nameType<RegionName>(), required, "Region of the instance."),
-        mapField("zones", &S::zones, nameType<ZoneName>(), nameType<RegionName>(), mostZones,
+        mapField("zones", &S::zones, nameType<ZoneName>(), nameType<RegionName>(), maxZones,
                  "Region of each availability zone."),
         scalarField("callersAddress", &S::callersAddress, addressType(), required, "Where callers are listened for."),
         scalarField("readyAddress", &S::readyAddress, addressType(), required,
                     "Where the balancer asks for readiness."),
         scalarField("peersAddress", &S::peersAddress, addressType(), required,
                     "Where other processes of the system are listened for."),
-        listField("seeds", &S::seeds, addressType(), mostSeeds,
+        listField("seeds", &S::seeds, addressType(), maxSeeds,
                   "Addresses of some other processes; they may be out of date."),
         scalarField("storeAddress", &S::storeAddress, addressType(), required,
                     "Store in which the platform publishes what is served."),
         scalarField("metricsAddress", &S::metricsAddress, addressType(), optional, "Where metrics are served."),
-        scalarField("gracePeriod", &S::gracePeriod, durationType(std::chrono::seconds{1}, longestGrace), optional,
+        scalarField("gracePeriod", &S::gracePeriod, durationType(std::chrono::seconds{1}, maxGracePeriod), optional,
                     "Time between the request to stop and the kill."),
         scalarField("retryRatio", &S::retryRatio, numberType(0.0, 1.0), optional,
                     "Repeats for each request that all processes may send."),
-        scalarField("retrySlack", &S::retrySlack, numberType(0.0, mostSlack), optional,
+        scalarField("retrySlack", &S::retrySlack, numberType(0.0, maxRetrySlack), optional,
                     "Repeats that all processes may send in any window."),
-        scalarField("retryWindow", &S::retryWindow, durationType(std::chrono::seconds{1}, longestWindow), optional,
+        scalarField("retryWindow", &S::retryWindow, durationType(std::chrono::seconds{1}, maxRetryWindow), optional,
                     "Window of the two bounds."),
-        scalarField("processorShare", &S::processorShare, numberType(0.0, mostCores), optional,
+        scalarField("processorShare", &S::processorShare, numberType(0.0, maxProcessorShare), optional,
                     "Share of a core that the instance has, in cores."),
-        scalarField("linkMbps", &S::linkMbps, numberType(0.0, mostMbps), optional,
+        scalarField("linkMbps", &S::linkMbps, numberType(0.0, maxLinkMbps), optional,
                     "Bandwidth of the instance's link, in Mbit/s."),
         scalarField("logLevel", &S::logLevel, choiceType<Severity>(), optional, "Lowest severity that is logged."),
     };
@@ -61,7 +61,7 @@
 
 double ServingSettings::strength() const noexcept
 {
-    return std::min(processorShare, linkMbps / mbpsOfCore);
+    return std::min(processorShare, linkMbps / linkMbpsPerCore);
 }
 
 ServingSettingsResult parseServingSettings(std::string_view yaml)
--- a/src/bergamottide/serving/servingsettings.h
+++ b/src/bergamottide/serving/servingsettings.h
@@ -15,55 +15,58 @@
 
 namespace bergamottide::serving {
 
-/*! @brief Settings of a process that serves callers and calls endpoints itself; addresses are IP numbers with ports. */
+/*! @brief Settings of a serving process, as read from its YAML file; addresses are IP addresses with port. */
 struct ServingSettings
 {
     InstanceName instance;
     ZoneName zone;
     RegionName region;
-    /*! @brief Region of each availability zone; binds requests that may run in some regions only. */
+    /*! @brief Region of each availability zone; needed for requests that are restricted to regions. */
     std::map<ZoneName, RegionName> zones;
+    /*! @brief Listening address for callers. */
     std::string callersAddress;
-    /*! @brief Where the balancer asks whether new connections may come. */
+    /*! @brief Listening address for readiness checks of the load balancer. */
     std::string readyAddress;
-    /*! @brief Where other processes of the system are listened for. */
+    /*! @brief Listening address for peers. */
     std::string peersAddress;
-    /*! @brief Peers addresses of some processes, which may be out of date. */
+    /*! @brief Peer addresses of some other processes to contact first; may be out of date. */
     std::vector<std::string> seeds;
-    /*! @brief Store in which the platform publishes configuration and endpoints. */
+    /*! @brief Address of the store in which the platform publishes the configuration and the endpoints. */
     std::string storeAddress;
-    /*! @brief Where metrics are served; empty for none. */
+    /*! @brief Listening address for metrics; empty to disable. */
     std::string metricsAddress;
-    /*! @brief Time between the request to stop and the kill. */
+    /*! @brief Time between the stop signal and the kill. */
     Duration gracePeriod{std::chrono::seconds{8}};
-    /*! @brief Repeats allowed for each request, over all processes, in `retryWindow`. */
+    /*! @brief Retries allowed for each request within `retryWindow`, over all processes. */
     double retryRatio{0.2};
+    /*! @brief Retries allowed within `retryWindow` whatever the number of requests, over all processes. */
     double retrySlack{50.0};
     Duration retryWindow{std::chrono::seconds{10}};
-    /*! @brief Share of a core that the instance has. */
+    /*! @brief Processor time available to the instance, in cores. */
     double processorShare{1.0};
-    /*! @brief Bandwidth of the instance's link, in Mbit/s. */
+    /*! @brief Network bandwidth of the instance, in Mbit/s. */
     double linkMbps{1000.0};
     Severity logLevel{Severity::Info};
 
-    /*! @brief Returns what the instance can carry, in cores: its share, or what its link allows if that is less. */
+    /*! @brief Returns the capacity of the instance in cores, limited by its processor share or its network bandwidth.
+     */
     [[nodiscard]] double strength() const noexcept;
 };
 
-/*! @brief Outcome of reading settings: the settings, or every error. */
+/*! @brief Parsed settings, or all issues found. */
 struct ServingSettingsResult
 {
     std::optional<ServingSettings> settings;
     std::vector<ConfigIssue> issues;
 };
 
-/*! @brief Fields of the settings, in the order of the reference page. */
+/*! @brief Returns the table of fields, in the order of the reference page. */
 [[nodiscard]] const FieldTable<ServingSettings> &servingSettingsFields();
 
 /**
- * @brief Reads and validates settings.
- * @param yaml Text of the file.
- * @return The settings, or every issue.
+ * @brief Parses and validates settings.
+ * @param yaml Content of the settings file.
+ * @return The settings, or all issues found.
  */
 [[nodiscard]] ServingSettingsResult parseServingSettings(std::string_view yaml);
 
