--- a/src/bergamottide/serving/eventsplitter.cpp
+++ b/src/bergamottide/serving/eventsplitter.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/*! @brief Returns the position behind the first blank line, or nothing. */
+/*! @brief Returns the position after the first blank line, or `npos`. */
 std::size_t endOfEvent(std::string_view bytes)
 {
     for (auto line = bytes.find('\n'); line != std::string_view::npos; line = bytes.find('\n', line + 1)) {
@@ -21,7 +21,8 @@
     return std::string_view::npos;
 }
 
-std::optional<std::uint64_t> numberOf(std::string_view event)
+/*! @brief Returns the value of the first numeric `id` field of an event. */
+std::optional<std::uint64_t> eventIdOf(std::string_view event)
 {
     std::size_t start = 0;
     while (start < event.size()) {
@@ -36,10 +37,10 @@
         while (line.starts_with(' ')) {
             line.remove_prefix(1);
         }
-        std::uint64_t number = 0;
-        const auto result = std::from_chars(line.data(), line.data() + line.size(), number);
+        std::uint64_t id = 0;
+        const auto result = std::from_chars(line.data(), line.data() + line.size(), id);
         if (result.ec == std::errc{}) {
-            return number;
+            return id;
         }
     }
     return std::nullopt;
@@ -48,58 +49,58 @@
 } // namespace
 
 EventSplitter::EventSplitter(std::optional<std::uint64_t> after)
-    : m_last{after}
+    : m_lastEventId{after}
 {
 }
 
 std::string EventSplitter::take(std::string_view bytes)
 {
-    m_rest.append(bytes);
+    m_buffer.append(bytes);
     std::string out;
     std::size_t begin = 0;
-    const std::string_view all{m_rest};
-    while (!m_broken) {
+    const std::string_view all{m_buffer};
+    while (!m_hasGap) {
         const std::size_t end = endOfEvent(all.substr(begin));
         if (end == std::string_view::npos) {
             break;
         }
-        takeEvent(all.substr(begin, end), out);
+        appendEvent(all.substr(begin, end), out);
         begin += end;
     }
-    m_rest.erase(0, begin);
+    m_buffer.erase(0, begin);
     return out;
 }
 
 bool EventSplitter::inEvent() const noexcept
 {
-    return !m_rest.empty();
+    return !m_buffer.empty();
 }
 
 bool EventSplitter::isBroken() const noexcept
 {
-    return m_broken;
+    return m_hasGap;
 }
 
 std::optional<std::uint64_t> EventSplitter::last() const noexcept
 {
-    return m_last;
+    return m_lastEventId;
 }
 
-void EventSplitter::takeEvent(std::string_view event, std::string &out)
+void EventSplitter::appendEvent(std::string_view event, std::string &out)
 {
-    const auto number = numberOf(event);
-    if (!number) {
+    const auto id = eventIdOf(event);
+    if (!id) {
         out.append(event);
         return;
     }
-    if (m_last && *number <= *m_last) {
+    if (m_lastEventId && *id <= *m_lastEventId) {
         return;
     }
-    if (m_last && *number != *m_last + 1) {
-        m_broken = true;
+    if (m_lastEventId && *id != *m_lastEventId + 1) {
+        m_hasGap = true;
         return;
     }
-    m_last = number;
+    m_lastEventId = id;
     out.append(event);
 }
 
--- a/src/bergamottide/serving/eventsplitter.h
+++ b/src/bergamottide/serving/eventsplitter.h
@@ -8,42 +8,42 @@
 namespace bergamottide::serving {
 
 /**
- * @brief Cuts the bytes of an event stream at the ends of events, without changing them.
+ * @brief Splits a stream of server-sent events into complete events, byte for byte as received.
  *
- * An endpoint may stop in the middle of an event; only whole events may go to a caller, since a later endpoint goes on
- * behind the last whole one.
+ * Only complete events may reach the caller: if an endpoint fails in the middle of one, another endpoint resumes the
+ * stream after the last complete event.
  */
 class EventSplitter
 {
 public:
     /**
      * @brief Creates a splitter.
-     * @param after Number of the last event already passed on; events up to it are dropped.
+     * @param after ID of the last event already forwarded; events up to it are dropped.
      */
     explicit EventSplitter(std::optional<std::uint64_t> after = std::nullopt);
 
     /**
-     * @brief Takes bytes.
+     * @brief Appends received bytes.
      * @param bytes Next bytes of the stream.
-     * @return The whole events that they complete, to be passed on; empty if there are none.
+     * @return The events that are now complete and to be forwarded; empty if none.
      */
     [[nodiscard]] std::string take(std::string_view bytes);
 
-    /*! @brief Tells if the bytes end in the middle of an event. */
+    /*! @brief Returns whether the bytes so far end in the middle of an event. */
     [[nodiscard]] bool inEvent() const noexcept;
 
-    /*! @brief Tells if an event was left out or came out of order. */
+    /*! @brief Returns whether an event ID was skipped. */
     [[nodiscard]] bool isBroken() const noexcept;
 
-    /*! @brief Returns the number of the last event passed on, if events are numbered. */
+    /*! @brief Returns the ID of the last forwarded event, if events have numeric IDs. */
     [[nodiscard]] std::optional<std::uint64_t> last() const noexcept;
 
 private:
-    void takeEvent(std::string_view event, std::string &out);
+    void appendEvent(std::string_view event, std::string &out);
 
-    std::string m_rest;
-    std::optional<std::uint64_t> m_last;
-    bool m_broken{};
+    std::string m_buffer;
+    std::optional<std::uint64_t> m_lastEventId;
+    bool m_hasGap{};
 };
 
 } // namespace bergamottide::serving
