--- a/src/bergamottide/serving/firsteventtimes.h
+++ b/src/bergamottide/serving/firsteventtimes.h
@@ -7,33 +7,33 @@
 
 namespace bergamottide::serving {
 
-/*! @brief Time from the sending of a generation to its first event, as a moving average for each pool. */
+/*! @brief Moving average, for each pool, of the time between sending a request and the response headers. */
 class FirstEventTimes
 {
 public:
-    /*! @brief Notes one generation. */
-    void note(const PoolName &pool, Duration time)
+    /*! @brief Adds a measured time. */
+    void record(const PoolName &pool, Duration sample)
     {
-        const auto [found, isNew] = m_times.try_emplace(pool, time);
+        const auto [found, isNew] = m_averages.try_emplace(pool, sample);
         if (!isNew) {
-            found->second += (time - found->second) / weight;
+            found->second += (sample - found->second) / smoothing;
         }
     }
 
-    /*! @brief Returns the typical time; a first guess before anything is known. */
-    [[nodiscard]] Duration typical(const PoolName &pool) const
+    /*! @brief Returns the average; an initial estimate before the first measurement. */
+    [[nodiscard]] Duration average(const PoolName &pool) const
     {
-        const auto found = m_times.find(pool);
-        return found == m_times.end() ? firstGuess : found->second;
+        const auto found = m_averages.find(pool);
+        return found == m_averages.end() ? initialEstimate : found->second;
     }
 
 private:
-    /*! @brief The newest counts one part in this many. */
-    static constexpr int weight = 16;
-    /*! @brief A prompt of some thousand tokens takes an engine about this long. */
-    static constexpr Duration firstGuess = std::chrono::milliseconds{100};
+    /*! @brief A new sample has a weight of one over this. */
+    static constexpr int smoothing = 16;
+    /*! @brief Typical time to read a prompt of some thousand tokens. */
+    static constexpr Duration initialEstimate = std::chrono::milliseconds{100};
 
-    std::map<PoolName, Duration> m_times;
+    std::map<PoolName, Duration> m_averages;
 };
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/plainplacement.cpp
+++ b/src/bergamottide/serving/plainplacement.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::uint32_t loadOf(const Endpoint &endpoint)
+std::uint32_t currentLoad(const Endpoint &endpoint)
 {
     return std::max(endpoint.inFlight, endpoint.load.running + endpoint.load.waiting);
 }
@@ -37,7 +37,7 @@
             continue;
         }
         const double slots = std::max<double>(1.0, endpoint->record.slots);
-        const std::pair key{(endpoint->inFlight + loadOf(*endpoint)) / slots, score(attempt, *endpoint)};
+        const std::pair key{(endpoint->inFlight + currentLoad(*endpoint)) / slots, score(attempt, *endpoint)};
         if (best == nullptr || key < bestKey) {
             best = endpoint;
             bestKey = key;
--- a/src/bergamottide/serving/plainplacement.h
+++ b/src/bergamottide/serving/plainplacement.h
@@ -9,17 +9,17 @@
 namespace bergamottide::serving {
 
 /**
- * @brief Picks the endpoint with the least load for a plain call.
- * @param usable Endpoints that take work.
- * @param excluded Endpoints that the request has been sent to before.
- * @param attempt Identity of the request; breaks ties differently for each request, so that processes that know
- * nothing of each other do not all pick the same one.
- * @return Endpoint, or null if none is left.
+ * @brief Returns the endpoint with the least load per slot for a plain call.
+ * @param usable Endpoints that accept work.
+ * @param excluded Endpoints to which the request was already sent.
+ * @param attempt Identity of the request; breaks ties by hash, so that processes do not all choose the same endpoint.
+ * @return Endpoint, or null if all are excluded.
  */
 [[nodiscard]] Endpoint *pickLeastLoaded(const std::vector<Endpoint *> &usable,
                                         const std::vector<InstanceName> &excluded, std::string_view attempt);
 
-/*! @brief Returns the work at an endpoint: what it told, or what this process has there if that is more. */
-[[nodiscard]] std::uint32_t loadOf(const Endpoint &endpoint);
+/*! @brief Returns the number of requests at an endpoint: its reported load, or those in flight from this process if
+ * more. */
+[[nodiscard]] std::uint32_t currentLoad(const Endpoint &endpoint);
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/request.h
+++ b/src/bergamottide/serving/request.h
@@ -15,77 +15,84 @@
 
 namespace bergamottide::serving {
 
-/*! @brief Progress of one stage of a request. */
+/*! @brief Progress of one stage of a request; a stage without pieces is done from the start. */
 struct StageProgress
 {
     PoolName pool;
     std::uint32_t pieces{};
+    /*! @brief Task in progress; empty before the start and after the end of the stage. */
     std::optional<StageTaskId> task;
-    /*! @brief Set while its start is put off. */
+    /*! @brief Set while the start of the stage is delayed. */
     std::optional<TimePoint> startAt;
-    std::uint32_t made{};
+    std::uint32_t completedPieces{};
+    /*! @brief One for each piece; without a handle until the piece is done. */
     std::vector<KeptResult> results;
+    /*! @brief The results have been freed. */
     bool isReleased{};
 
     [[nodiscard]] bool isDone() const noexcept
     {
-        return made == pieces;
+        return completedPieces == pieces;
     }
 };
 
 /*! @brief A request in progress. */
 struct Request
 {
-    std::shared_ptr<const CallerRequest> in;
-    /*! @brief Version under which it came; holds for it to its end. */
+    std::shared_ptr<const CallerRequest> callerRequest;
+    /*! @brief Catalog in effect on arrival; used until the request ends. */
     std::shared_ptr<const Catalog> catalog;
     const Route *route{};
     Workspace workspace;
+    /*! @brief Combined priority of workspace and route; the lowest is served first. */
     int rank{};
-    TimePoint arrived{};
-    /*! @brief Time at which the caller or the route ends the wait. */
-    TimePoint limit{};
-    /*! @brief Time by which the answer, or its first event, is on time. */
+    TimePoint arrivedAt{};
+    /*! @brief When the caller stops waiting or the timeout of the route expires, whichever is first. */
+    TimePoint deadline{};
+    /*! @brief Latest time at which the response, or the first event of a stream, is on time. */
     TimePoint objective{};
-    /*! @brief Time from the sending to the answer, or to its first event, as expected on arrival. */
-    Duration runTime{};
-    /*! @brief Time of its answer, or of its first event, as forecast on arrival. */
-    TimePoint expected{};
+    /*! @brief Forecast on arrival of the time between sending the request to an endpoint and the response or first
+     * event. */
+    Duration expectedRunTime{};
+    /*! @brief Forecast on arrival of the time of the response or first event. */
+    TimePoint expectedResponseAt{};
 
     std::vector<StageProgress> stages;
-    /*! @brief Level of the stages at work; zero once all are done. */
+    /*! @brief Level of the stages in progress; zero once all stages are done. */
     std::uint32_t level{};
-    /*! @brief Times that stages were started again since an input was gone. */
+    /*! @brief Number of times that all stages were restarted because an input no longer existed. */
     std::uint32_t stageRestarts{};
 
-    /*! @brief Pool drawn for it. */
+    /*! @brief Pool selected from the route's weighted pools. */
     PoolName pool;
-    /*! @brief Parts of its prompt; empty for a plain call. */
+    /*! @brief Parts of the prompt; empty for a plain call. */
     engines::PromptChain prompt;
     std::optional<RunNumber> run;
-    TimePoint runStarted{};
-    /*! @brief When the engine of its run has fetched the inputs, as far as can be expected. */
+    TimePoint runStartedAt{};
+    /*! @brief Estimated time at which the engine of the current run has fetched all inputs. */
     std::optional<TimePoint> inputsFetchedAt;
-    /*! @brief Its run was taken as silent. */
-    bool isSuspected{};
-    /*! @brief When the first event of a stream came. */
+    /*! @brief The current run has been detected as stalled. */
+    bool isStallDetected{};
+    /*! @brief When the first event of a stream arrived. */
     std::optional<TimePoint> firstEventAt;
+    /*! @brief Endpoint of the current or last run. */
     InstanceName endpoint;
-    /*! @brief Endpoints it was sent to. */
-    std::vector<InstanceName> tried;
-    /*! @brief Endpoints that may have worked on it. */
+    /*! @brief Endpoints to which the request was sent, in order. */
+    std::vector<InstanceName> triedEndpoints;
+    /*! @brief Number of failed runs that may have executed the request. */
     std::uint32_t executions{};
-    /*! @brief An endpoint that it was sent to may have begun to work on it; says nothing of a run in progress. */
+    /*! @brief An earlier run may have executed the request; a run in progress does not count. */
     bool mayHaveRun{};
 
+    /*! @brief Response of the current run, as far as received. */
     std::optional<EndpointAnswerHead> head;
     std::string body;
-    /*! @brief The head of a stream has gone to the caller. */
-    bool begun{};
-    EventSplitter events;
+    /*! @brief The headers of a stream have been sent to the caller. */
+    bool isStreamStarted{};
+    EventSplitter eventSplitter;
 
-    /*! @brief Tells if results that a further run would need have been given up. */
-    [[nodiscard]] bool lacksResults() const noexcept
+    /*! @brief Returns whether inputs that another run would need have been freed. */
+    [[nodiscard]] bool hasReleasedInputs() const noexcept
     {
         for (std::size_t stage = 0; stage < stages.size(); ++stage) {
             if (route->stages[stage].isLeaf && stages[stage].pieces != 0 && stages[stage].isReleased) {
@@ -95,14 +102,14 @@
         return false;
     }
 
-    /*! @brief Returns the time past the objective that was forecast on arrival; zero if none. */
+    /*! @brief Returns by how much the forecast response misses the objective; zero if it does not. */
     [[nodiscard]] Duration lateness() const noexcept
     {
-        return std::max(expected - objective, Duration::zero());
+        return std::max(expectedResponseAt - objective, Duration::zero());
     }
 
-    /*! @brief Tells if no endpoint can have begun to work on it, or ever will: a promise to the caller. */
-    [[nodiscard]] bool provablyNotRun() const noexcept
+    /*! @brief Returns whether no endpoint can have executed the request, which permits the caller a safe retry. */
+    [[nodiscard]] bool hasProvablyNotRun() const noexcept
     {
         return !mayHaveRun && !run;
     }
--- a/src/bergamottide/serving/servingengines.cpp
+++ b/src/bergamottide/serving/servingengines.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/*! @brief Inputs count as fetched after this many times what is expected, plus the allowance for the network: the
- * engine's other work is known only roughly, and inputs given up too soon cost a whole chain of stages. */
+/*! @brief Factor on the estimated fetch time, to which `fetchTimeMargin` is added. Generous because inputs freed too
+ * early cost a restart of all stages. */
 constexpr double fetchTimeFactor = 2.0;
-constexpr Duration fetchAllowance = std::chrono::milliseconds{100};
+constexpr Duration fetchTimeMargin = std::chrono::milliseconds{100};
 
 } // namespace
 
-/*! @brief Tells the table of engines which there are: those of pools whose engines the configuration describes. */
-void ServingReducer::listEngines()
+/*! @brief Updates the engine table with the endpoints of pools that have an `EngineSpec`. */
+void ServingReducer::updateEngines()
 {
     std::vector<engines::EngineListing> list;
     for (const EndpointRecord &record : m_endpoints.records()) {
@@ -29,14 +29,14 @@
 
 std::optional<engines::EngineChoice> ServingReducer::chooseEngine(const Request &request)
 {
-    std::vector<engines::EngineCandidate> engines;
-    for (const Endpoint *endpoint : candidates(request)) {
+    std::vector<engines::EngineCandidate> candidates;
+    for (const Endpoint *endpoint : candidateEndpoints(request)) {
         const EndpointRecord &record = endpoint->record;
-        const bool isTried =
-            std::find(request.tried.begin(), request.tried.end(), record.instance) != request.tried.end();
-        engines.push_back({record.instance, record.zone, loadOf(*endpoint), isTried});
+        const bool isTried = std::find(request.triedEndpoints.begin(), request.triedEndpoints.end(), record.instance)
+            != request.triedEndpoints.end();
+        candidates.push_back({record.instance, record.zone, currentLoad(*endpoint), isTried});
     }
-    engines::GenerationNeeds needs{request.pool, request.prompt, request.in->attempt, {}, 0, 0.0};
+    engines::GenerationNeeds needs{request.pool, request.prompt, request.callerRequest->attempt, {}, 0, 0.0};
     const Pool *pool = request.catalog->pool(request.pool);
     if (pool != nullptr && pool->engine) {
         needs.fetchRate = pool->engine->fetchRate;
@@ -47,10 +47,10 @@
             needs.inputBytes = bytes;
         }
     }
-    return engines::pickEngine(m_engines, engines, needs, m_now);
+    return engines::pickEngine(m_engines, candidates, needs, m_now);
 }
 
-/*! @brief Returns the bytes of the results that a generation takes, by the zone in which they lie. */
+/*! @brief Returns the bytes of a request's inputs, by the zone in which they are stored. */
 std::map<ZoneName, std::uint64_t> ServingReducer::inputBytesByZone(const Request &request)
 {
     std::map<ZoneName, std::uint64_t> bytes;
@@ -59,16 +59,17 @@
             continue;
         }
         for (const KeptResult &result : request.stages[stage].results) {
-            if (const Endpoint *maker = m_endpoints.find(result.endpoint); maker != nullptr) {
-                bytes[maker->record.zone] += result.bytes;
+            if (const Endpoint *source = m_endpoints.find(result.endpoint); source != nullptr) {
+                bytes[source->record.zone] += result.bytes;
             }
         }
     }
     return bytes;
 }
 
-/*! @brief Notes when the engine of a run will have fetched its inputs: before it begins to read the prompt. */
-void ServingReducer::awaitFetch(Request &request, const engines::EngineChoice &choice)
+/*! @brief Schedules the release of a request's inputs for the time at which the engine should have fetched them, which
+ * it does before it reads the prompt. */
+void ServingReducer::scheduleInputRelease(Request &request, const engines::EngineChoice &choice)
 {
     double seconds = 0.0;
     for (std::size_t stage = 0; stage < request.stages.size(); ++stage) {
@@ -80,27 +81,27 @@
         }
     }
     seconds += choice.ahead / m_engines.model(request.pool).tokensPerSecond();
-    request.inputsFetchedAt = m_now + fetchAllowance
+    request.inputsFetchedAt = m_now + fetchTimeMargin
         + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds * fetchTimeFactor));
-    m_fetches.emplace(*request.inputsFetchedAt, request.in->call);
+    m_inputReleases.emplace(*request.inputsFetchedAt, request.callerRequest->call);
 }
 
 /*
- * Answers a burst of requests with large inputs: these would stay in the scarce memory of their makers until the first
- * event, twice as long as it takes to make them, and keep others from being made.
+ * Frees inputs that an engine should have fetched by now, where memory is scarce. Until the first event they would keep
+ * other results out of the stage pool's memory.
  */
-void ServingReducer::giveUpFetchedInputs()
+void ServingReducer::releaseFetchedInputs()
 {
-    while (!m_fetches.empty() && m_fetches.begin()->first <= m_now) {
-        const auto [due, call] = *m_fetches.begin();
-        m_fetches.erase(m_fetches.begin());
+    while (!m_inputReleases.empty() && m_inputReleases.begin()->first <= m_now) {
+        const auto [due, call] = *m_inputReleases.begin();
+        m_inputReleases.erase(m_inputReleases.begin());
         Request *request = find(call);
         if (request == nullptr || !request->run || request->inputsFetchedAt != due) {
             continue;
         }
         for (StageProgress &stage : request->stages) {
-            if (!stage.results.empty() && isShortOfRoom(stage.results.front())) {
-                release(stage);
+            if (!stage.results.empty() && isResultMemoryScarce(stage.results.front())) {
+                releaseResults(stage);
             }
         }
     }
--- a/src/bergamottide/serving/servingreducer.cpp
+++ b/src/bergamottide/serving/servingreducer.cpp
@@ -9,33 +9,31 @@
 
 namespace {
 
-/*! @brief Distance between the ranks of two workspaces' priorities: above any priority of a route. */
-constexpr int rankOfWorkspace = 100;
-/*! @brief Wait of a caller before it comes back when nothing is known that ends sooner. */
-constexpr Duration standardRetryAfter = std::chrono::milliseconds{300};
-/*! @brief Lateness that a request may be expected to have and be admitted still: forecasts err by about that. */
-constexpr Duration mostLateness = std::chrono::milliseconds{300};
-constexpr Duration shortestRetryAfter = std::chrono::milliseconds{50};
-/*! @brief Callers wait for up to a third of their time; a longer wait would be cut to that anyway. */
-constexpr int retryAfterShare = 3;
-/*! @brief Time after the objective or arrival within which no request is known to be decided; bounds a request without
- * any limit. */
-constexpr Duration longestRequest = std::chrono::seconds{60};
-
-/*! @brief Part of the caller's time that its request and the answer spend on the way; an answer after it reaches
- * nobody. */
-constexpr Duration answerMargin = std::chrono::milliseconds{25};
+/*! @brief Rank distance between adjacent workspace priorities; larger than any route priority. */
+constexpr int workspaceRankStep = 100;
+/*! @brief Retry delay suggested to a rejected caller, unless its forecast is later. */
+constexpr Duration defaultRetryAfter = std::chrono::milliseconds{300};
+/*! @brief Forecast lateness up to which a request is admitted; covers forecast errors. */
+constexpr Duration maxLateness = std::chrono::milliseconds{300};
+constexpr Duration minRetryAfter = std::chrono::milliseconds{50};
+/*! @brief Suggested retry delays are at most this fraction of the remaining time, as callers cut longer ones to it. */
+constexpr int retryAfterDivisor = 3;
+/*! @brief Deadline of a request that has none. */
+constexpr Duration defaultDeadline = std::chrono::seconds{60};
+
+/*! @brief Subtracted from the caller's deadline for network time; a later response would not reach the caller in time.
+ */
+constexpr Duration responseMargin = std::chrono::milliseconds{25};
 /*!
- * @brief Time of a drain in which new requests are still taken.
+ * @brief Time from the start of a drain during which new requests are still accepted.
  *
- * The balancer needs two misses, one a second, to send callers elsewhere; what is taken later may not end before the
- * process does. A caller that is refused then comes back at another process.
+ * The load balancer takes two failed readiness checks, one a second, to divert callers. Requests accepted later might
+ * not complete before the process is killed.
  */
-constexpr Duration drainIntake = std::chrono::milliseconds{2500};
+constexpr Duration drainAcceptTime = std::chrono::milliseconds{2500};
 
-/*! @brief Period in which tasks that wait for the process to meet its peers are reviewed: a tenth of the time that this
- * takes. */
-constexpr Duration heldBackReview = std::chrono::milliseconds{20};
+/*! @brief Period at which deferred tasks are checked while the view of the peers has not settled. */
+constexpr Duration deferredTaskPeriod = std::chrono::milliseconds{20};
 
 std::string milliseconds(Duration duration)
 {
@@ -53,7 +51,7 @@
     }}
     , m_stages{m_endpoints, m_budget, m_warmup, m_paths,
                [this](const KeptResult &result) {
-                   return isShortOfRoom(result);
+                   return isResultMemoryScarce(result);
                }}
     , m_incarnation{options.incarnation}
 {
@@ -62,10 +60,10 @@
 Effects ServingReducer::apply(const Event &event, TimePoint now)
 {
     m_now = now;
-    std::visit([this](const auto &one) { on(one); }, event);
+    std::visit([this](const auto &typedEvent) { on(typedEvent); }, event);
     if (m_catalog) {
         m_stages.dispatch(*m_catalog, m_now, m_effects);
-        takeOutcomes();
+        processStageOutcomes();
     }
     if (m_draining && m_requests.empty()) {
         m_effects.emplace_back(Drained{});
@@ -76,21 +74,21 @@
 std::optional<TimePoint> ServingReducer::nextWakeup() const
 {
     std::optional<TimePoint> next = m_stages.nextWakeup();
-    if (!m_limits.empty()) {
-        const TimePoint first = m_limits.begin()->first;
+    if (!m_deadlines.empty()) {
+        const TimePoint first = m_deadlines.begin()->first;
         next = next ? std::min(*next, first) : first;
     }
-    if (!m_starts.empty()) {
-        const TimePoint first = std::get<TimePoint>(*m_starts.begin());
+    if (!m_delayedStages.empty()) {
+        const TimePoint first = std::get<TimePoint>(*m_delayedStages.begin());
         next = next ? std::min(*next, first) : first;
     }
-    if (!m_fetches.empty()) {
-        const TimePoint first = m_fetches.begin()->first;
+    if (!m_inputReleases.empty()) {
+        const TimePoint first = m_inputReleases.begin()->first;
         next = next ? std::min(*next, first) : first;
     }
     if (!m_heldBack.empty()) {
-        const TimePoint review = m_now + heldBackReview;
-        next = next ? std::min(*next, review) : review;
+        const TimePoint check = m_now + deferredTaskPeriod;
+        next = next ? std::min(*next, check) : check;
     }
     return next ? std::min(*next, m_heartbeatAt) : m_heartbeatAt;
 }
@@ -109,14 +107,14 @@
 {
     m_catalog = event.catalog;
     m_stages.reviewAll();
-    listEngines();
+    updateEngines();
     m_peers.setOwnsQueues(canServe());
     m_effects.emplace_back(Observe{Metric::ConfigurationsTotal, {}, 1.0});
     m_effects.emplace_back(Observe{Metric::ConfigVersion, {}, static_cast<double>(m_catalog->version)});
     m_effects.emplace_back(
         LogLine{Severity::Info,
                 Part::Config,
-                "A configuration is in force.",
+                "Configuration is in effect.",
                 {{"version", absl::StrCat(m_catalog->version)}, {"routes", absl::StrCat(m_catalog->routes.size())}}});
 }
 
@@ -124,26 +122,26 @@
 {
     m_endpoints.update(*event.endpoints, m_now, m_effects);
     m_stages.reviewAll();
-    listEngines();
+    updateEngines();
     m_peers.setOwnsQueues(canServe());
 }
 
 void ServingReducer::on(const DrainRequested &)
 {
     m_draining = true;
-    m_refusingFrom = m_now + drainIntake;
+    m_rejectingFrom = m_now + drainAcceptTime;
     m_peers.setOwnsQueues(false);
     handOverQueues([this](const PoolName &pool) { return m_peers.owner(pool, m_now).has_value(); });
     m_effects.emplace_back(
-        LogLine{Severity::Info, Part::Entry, "The process drains.", {{"requests", absl::StrCat(m_requests.size())}}});
+        LogLine{Severity::Info, Part::Entry, "Process is draining.", {{"requests", absl::StrCat(m_requests.size())}}});
 }
 
 void ServingReducer::on(const Tick &)
 {
-    expire();
-    startDelayed();
-    giveUpFetchedInputs();
-    reviewSilentRuns();
+    expireRequests();
+    startDelayedStages();
+    releaseFetchedInputs();
+    checkStalledRuns();
     m_stages.expire(m_now, m_effects);
     placeHeldBack();
     reclaimTasks();
@@ -154,116 +152,120 @@
 void ServingReducer::on(const RequestArrived &event)
 {
     Request request;
-    request.in = std::make_shared<const CallerRequest>(event.request);
-    request.arrived = m_now;
-    request.limit = m_now + std::max(event.request.deadline.value_or(longestRequest) - answerMargin, Duration::zero());
+    request.callerRequest = std::make_shared<const CallerRequest>(event.request);
+    request.arrivedAt = m_now;
+    request.deadline =
+        m_now + std::max(event.request.deadline.value_or(defaultDeadline) - responseMargin, Duration::zero());
     request.catalog = m_catalog;
     admit(std::move(request));
 }
 
 void ServingReducer::admit(Request request)
 {
-    const CallId call = request.in->call;
-    if (const auto refusal = whyRefused(request)) {
-        refuse(request, *refusal, admissionReason(*refusal));
+    const CallId call = request.callerRequest->call;
+    if (const auto error = checkAdmission(request)) {
+        reject(request, *error, rejectionReason(*error));
         return;
     }
-    const auto [place, isNew] = m_requests.emplace(call, std::move(request));
+    const auto [entry, isNew] = m_requests.emplace(call, std::move(request));
     if (!isNew) {
         return;
     }
-    Request &admitted = place->second;
-    m_limits.emplace(admitted.limit, call);
+    Request &admitted = entry->second;
+    m_deadlines.emplace(admitted.deadline, call);
     m_budget.sent(admitted.pool, m_now);
-    log(admitted, "A request is admitted.",
+    log(admitted, "Request admitted.",
         {{"route", admitted.route->name},
          {"workspace", admitted.workspace.name.text()},
          {"rank", absl::StrCat(admitted.rank)},
-         {"expected_ms", milliseconds(admitted.expected - m_now)},
+         {"expected_ms", milliseconds(admitted.expectedResponseAt - m_now)},
          {"objective_ms", milliseconds(admitted.objective - m_now)},
-         {"limit_ms", milliseconds(admitted.limit - m_now)}});
+         {"limit_ms", milliseconds(admitted.deadline - m_now)}});
     advance(admitted);
 }
 
-std::string ServingReducer::admissionReason(AnswerKind kind) const
+std::string ServingReducer::rejectionReason(AnswerKind kind) const
 {
     if (kind != AnswerKind::Unavailable) {
         return "not allowed by the configuration";
     }
     if (!m_catalog) {
-        return "no configuration is known";
+        return "no configuration loaded";
     }
-    return m_draining ? "the process drains" : "no endpoint is expected to serve it in time";
+    return m_draining ? "process is draining" : "no endpoint is expected to respond in time";
 }
 
-std::optional<AnswerKind> ServingReducer::whyRefused(Request &request)
+/*! @brief Resolves route, workspace, pool and times of a request; returns the error if it is not admitted. */
+std::optional<AnswerKind> ServingReducer::checkAdmission(Request &request)
 {
-    if (!request.catalog || (m_draining && m_now >= m_refusingFrom)) {
+    if (!request.catalog || (m_draining && m_now >= m_rejectingFrom)) {
         return AnswerKind::Unavailable;
     }
-    const Route *route = request.catalog->find(request.in->host, request.in->path);
+    const Route *route = request.catalog->find(request.callerRequest->host, request.callerRequest->path);
     if (route == nullptr) {
         return AnswerKind::NoRoute;
     }
     request.route = route;
-    if (request.in->attempt.empty()) {
+    if (request.callerRequest->attempt.empty()) {
         return AnswerKind::BadRequest;
     }
     if (request.catalog->needsKeys && !route->isPublic) {
-        const auto found = request.catalog->workspaceOfKey.find(request.in->key);
+        const auto found = request.catalog->workspaceOfKey.find(request.callerRequest->key);
         if (found == request.catalog->workspaceOfKey.end()) {
             return AnswerKind::UnknownKey;
         }
         request.workspace = found->second;
     }
-    request.rank = request.workspace.priority * rankOfWorkspace + route->priority;
+    request.rank = request.workspace.priority * workspaceRankStep + route->priority;
     if (route->timeout > Duration::zero()) {
-        request.limit = std::min(request.limit, m_now + route->timeout);
+        request.deadline = std::min(request.deadline, m_now + route->timeout);
     }
     request.objective = m_now + route->objective;
-    request.expected = m_now;
-    request.pool = drawPool(*route, request.in->attempt);
-    request.prompt = engines::chainOf(request.in->model, request.in->prompt);
-    if (!isServed(request)) {
+    request.expectedResponseAt = m_now;
+    request.pool = selectPool(*route, request.callerRequest->attempt);
+    request.prompt = engines::chainOf(request.callerRequest->model, request.callerRequest->prompt);
+    if (!hasAllowedEndpoint(request)) {
         return AnswerKind::Unavailable;
     }
     request.stages.resize(route->stages.size());
     for (std::size_t stage = 0; stage < request.stages.size(); ++stage) {
-        request.stages[stage].pieces = stage < request.in->pieces.size() ? request.in->pieces[stage] : 0;
+        request.stages[stage].pieces =
+            stage < request.callerRequest->pieces.size() ? request.callerRequest->pieces[stage] : 0;
     }
     request.level = route->topLevel() + 1;
-    request.runTime = expectedRunTime(request);
-    if (!route->stages.empty() && isHopeless(request)) {
+    request.expectedRunTime = expectedRunTime(request);
+    if (!route->stages.empty() && wouldBeTooLate(request)) {
         return AnswerKind::Unavailable;
     }
     return std::nullopt;
 }
 
 /*
- * Answers a burst that fills the stage pools: who is admitted although it will be late takes room and calls from those
- * that could be on time, and is held for nothing if it is given up halfway. It is told at once when to come back.
+ * Forecasts the response and returns whether it would be too late. Rejecting on arrival keeps a burst from filling the
+ * stage pools with requests that miss their objective and delay others.
  */
-bool ServingReducer::isHopeless(Request &request)
+bool ServingReducer::wouldBeTooLate(Request &request)
 {
-    const auto answer = expectedAnswer(request);
-    if (!answer) {
+    const auto responseAt = forecastResponse(request);
+    if (!responseAt) {
         return true;
     }
-    request.expected = *answer;
-    return *answer > request.limit || request.lateness() > mostLateness;
+    request.expectedResponseAt = *responseAt;
+    return *responseAt > request.deadline || request.lateness() > maxLateness;
 }
 
 /*
- * Answers prompts of very different lengths behind the same stages: one that takes the engine a second has to leave the
- * stages earlier than one that takes it a tenth of that.
+ * Estimates the time between sending a request to an endpoint and its first event. The start times of stages depend on
+ * it: a long prompt has to leave them earlier than a short one.
  */
 Duration ServingReducer::expectedRunTime(const Request &request)
 {
     const auto choice = request.prompt.empty() ? std::nullopt : chooseEngine(request);
-    return choice ? choice->expected : m_firstEvents.typical(request.pool);
+    return choice ? choice->expected : m_firstEventTimes.average(request.pool);
 }
 
-Duration ServingReducer::shortestStageTime(const Request &request, std::uint32_t belowLevel) const
+/*! @brief Returns the shortest possible time of the stages below a level, one full call for each level. */
+Duration ServingReducer::minimumStageTime(const Request &request, std::uint32_t belowLevel) const
 {
     std::map<std::uint32_t, Duration> ofLevel;
     for (std::size_t stage = 0; stage < request.stages.size(); ++stage) {
@@ -289,8 +291,9 @@
                          }};
 }
 
-/*! @brief Forecasts the answer, or its first event, of a request whose stages have not begun. */
-std::optional<TimePoint> ServingReducer::expectedAnswer(const Request &request)
+/*! @brief Forecasts the response or first event of a request whose stages have not started; empty if a stage has no
+ * endpoint. */
+std::optional<TimePoint> ServingReducer::forecastResponse(const Request &request)
 {
     std::vector<std::uint32_t> pieces;
     for (const StageProgress &stage : request.stages) {
@@ -300,10 +303,11 @@
     if (!stages) {
         return std::nullopt;
     }
-    return m_now + *stages + m_firstEvents.typical(request.pool);
+    return m_now + *stages + m_firstEventTimes.average(request.pool);
 }
 
-PoolName ServingReducer::drawPool(const Route &route, const std::string &attempt) const
+/*! @brief Selects a pool by weight and by the hash of the attempt, so that a repeated attempt goes to the same pool. */
+PoolName ServingReducer::selectPool(const Route &route, const std::string &attempt) const
 {
     std::uint64_t sum = 0;
     for (const WeightedPool &pool : route.pools) {
@@ -312,12 +316,12 @@
     if (sum == 0) {
         return route.pools.empty() ? PoolName{} : route.pools.front().pool;
     }
-    std::uint64_t drawn = XXH3_64bits(attempt.data(), attempt.size()) % sum;
+    std::uint64_t point = XXH3_64bits(attempt.data(), attempt.size()) % sum;
     for (const WeightedPool &pool : route.pools) {
-        if (drawn < pool.weight) {
+        if (point < pool.weight) {
             return pool.pool;
         }
-        drawn -= pool.weight;
+        point -= pool.weight;
     }
     return route.pools.back().pool;
 }
@@ -331,70 +335,71 @@
     finish(*request, "caller_left");
 }
 
-void ServingReducer::refuse(Request &request, AnswerKind kind, const std::string &reason)
+void ServingReducer::reject(Request &request, AnswerKind kind, const std::string &reason)
 {
-    const CallId call = request.in->call;
+    const CallId call = request.callerRequest->call;
     RefuseCaller effect{call, kind, {}};
     if (kind == AnswerKind::Unavailable) {
-        const Duration most = std::max((request.limit - m_now) / retryAfterShare, shortestRetryAfter);
-        effect.retryAfter = std::min(std::max(standardRetryAfter, request.lateness()), most);
+        const Duration longest = std::max((request.deadline - m_now) / retryAfterDivisor, minRetryAfter);
+        effect.retryAfter = std::min(std::max(defaultRetryAfter, request.lateness()), longest);
     }
     m_effects.emplace_back(effect);
-    log(request, "A request is refused.",
+    log(request, "Request rejected.",
         {{"answer", std::string{enumName(kind)}},
          {"reason", reason},
          {"route", request.route == nullptr ? "" : request.route->name},
-         {"expected_ms", milliseconds(request.expected - request.arrived)},
-         {"objective_ms", milliseconds(request.objective - request.arrived)}},
+         {"expected_ms", milliseconds(request.expectedResponseAt - request.arrivedAt)},
+         {"objective_ms", milliseconds(request.objective - request.arrivedAt)}},
         kind == AnswerKind::NoRoute || kind == AnswerKind::UnknownKey ? Severity::Info : Severity::Warning);
     finish(request, enumName(kind));
 }
 
+/*! @brief Ends a request whatever its state: records metrics, cancels its work and frees its results. */
 void ServingReducer::finish(Request &request, std::string_view outcome)
 {
-    const CallId call = request.in->call;
+    const CallId call = request.callerRequest->call;
     m_effects.emplace_back(Observe{
         Metric::RequestsTotal,
         {request.workspace.name.text(), request.route == nullptr ? "" : request.route->name, std::string{outcome}},
         1.0});
     if (request.route != nullptr) {
-        observeEnd(request, outcome);
+        recordMetrics(request, outcome);
     }
     if (request.run) {
         m_effects.emplace_back(CancelRun{*request.run});
         endRun(request, std::nullopt);
     }
-    releaseAll(request);
-    m_limits.erase({request.limit, call});
+    cancelStages(request);
+    m_deadlines.erase({request.deadline, call});
     m_requests.erase(call);
 }
 
-void ServingReducer::observeEnd(const Request &request, std::string_view outcome)
+void ServingReducer::recordMetrics(const Request &request, std::string_view outcome)
 {
-    const std::string &kind = request.route->name;
-    const Duration age = m_now - request.arrived;
-    m_effects.emplace_back(Observe{Metric::RequestSeconds, {kind}, std::chrono::duration<double>(age).count()});
+    const std::string &route = request.route->name;
+    const Duration age = m_now - request.arrivedAt;
+    m_effects.emplace_back(Observe{Metric::RequestSeconds, {route}, std::chrono::duration<double>(age).count()});
     if (outcome == "completed" && (request.firstEventAt.value_or(m_now) <= request.objective)) {
-        m_effects.emplace_back(Observe{Metric::RequestsOnTimeTotal, {request.workspace.name.text(), kind}, 1.0});
+        m_effects.emplace_back(Observe{Metric::RequestsOnTimeTotal, {request.workspace.name.text(), route}, 1.0});
     }
 }
 
-void ServingReducer::expire()
+void ServingReducer::expireRequests()
 {
-    while (!m_limits.empty() && m_limits.begin()->first <= m_now) {
-        Request *request = find(m_limits.begin()->second);
+    while (!m_deadlines.empty() && m_deadlines.begin()->first <= m_now) {
+        Request *request = find(m_deadlines.begin()->second);
         if (request == nullptr) {
-            m_limits.erase(m_limits.begin());
+            m_deadlines.erase(m_deadlines.begin());
             continue;
         }
-        if (request->begun) {
-            m_effects.emplace_back(AbortStream{request->in->call});
-            log(*request, "A stream is broken off.", {{"reason", "its time is over"}}, Severity::Warning);
+        if (request->isStreamStarted) {
+            m_effects.emplace_back(AbortStream{request->callerRequest->call});
+            log(*request, "Stream aborted.", {{"reason", "deadline exceeded"}}, Severity::Warning);
             finish(*request, "timed_out");
             continue;
         }
-        refuse(*request, request->provablyNotRun() ? AnswerKind::Unavailable : AnswerKind::TimedOut,
-               "its time is over");
+        reject(*request, request->hasProvablyNotRun() ? AnswerKind::Unavailable : AnswerKind::TimedOut,
+               "deadline exceeded");
     }
 }
 
@@ -413,8 +418,8 @@
 void ServingReducer::log(const Request &request, std::string text,
                          std::vector<std::pair<std::string, std::string>> fields, Severity severity)
 {
-    fields.emplace_back("request", request.in->attempt);
-    fields.emplace_back("age_ms", milliseconds(m_now - request.arrived));
+    fields.emplace_back("request", request.callerRequest->attempt);
+    fields.emplace_back("age_ms", milliseconds(m_now - request.arrivedAt));
     fields.emplace_back("version", absl::StrCat(request.catalog ? request.catalog->version : 0));
     m_effects.emplace_back(LogLine{severity, Part::Entry, std::move(text), std::move(fields)});
 }
--- a/src/bergamottide/serving/servingreducer.h
+++ b/src/bergamottide/serving/servingreducer.h
@@ -28,23 +28,26 @@
 
 namespace bergamottide::serving {
 
-/*! @brief Settings of the decisions. */
+/*! @brief Options of a `ServingReducer`. */
 struct ServingOptions
 {
     RetryBudgetOptions retries;
+    /*! @brief This process, as its peers know it. */
     PeerInfo self;
-    /*! @brief Addresses of some peers. */
+    /*! @brief Addresses of some peers to contact first. */
     std::vector<std::string> seeds;
+    /*! @brief Differs for each start of the process. */
     std::uint64_t incarnation{};
     /*! @brief Region of each availability zone. */
     std::map<ZoneName, RegionName> regions;
 };
 
 /**
- * @brief Decides what becomes of each request of a process that calls endpoints itself.
+ * @brief Handles the requests of a serving process as a deterministic state machine without I/O.
  *
- * A request is admitted or refused on arrival, has its stages made, is sent to one endpoint and answered. It is sent
- * again only if it may run twice or has provably not run.
+ * Each event updates the state and yields the effects to carry out. A request is admitted or rejected on arrival,
+ * passes through its stages and is sent to one endpoint, whose response is forwarded. It is retried only if it may run
+ * twice or was provably not executed.
  */
 class ServingReducer
 {
@@ -53,32 +56,33 @@
 
     /**
      * @brief Applies one event.
-     * @param event What has come about.
-     * @param now Present time.
-     * @return What is to be done, in order.
+     * @param event Event.
+     * @param now Current time.
+     * @return Effects to carry out, in order.
      */
     [[nodiscard]] Effects apply(const Event &event, TimePoint now);
 
-    /*! @brief Returns the next time at which a tick is needed. */
+    /*! @brief Returns when the next `Tick` is due. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
 
     /*! @brief Returns the number of requests in progress. */
     [[nodiscard]] std::size_t inProgress() const noexcept;
 
-    /*! @brief Returns the peers that are alive. */
+    /*! @brief Returns the live peers, without this process. */
     [[nodiscard]] std::vector<PeerInfo> livePeers(TimePoint now) const;
 
-    /*! @brief Returns who reads the platform for this process; none if it reads itself. */
+    /*! @brief Returns the addresses of the peers that read the platform's store for this process; none if it reads the
+     * store itself. */
     [[nodiscard]] std::vector<std::string> readers(TimePoint now) const;
 
     /**
-     * @brief Returns what this process tells a peer.
+     * @brief Builds the heartbeat for a peer.
      * @param to Address of the peer.
-     * @param now Present time.
+     * @param now Current time.
      */
     [[nodiscard]] Heartbeat heartbeat(const std::string &to, TimePoint now);
 
-    /*! @brief Tells if a request could be served now. */
+    /*! @brief Returns whether the process accepts requests: it has a catalog and endpoints, and is not draining. */
     [[nodiscard]] bool canServe() const;
 
 private:
@@ -102,15 +106,15 @@
 
     // Admission.
     void admit(Request request);
-    [[nodiscard]] std::optional<AnswerKind> whyRefused(Request &request);
-    [[nodiscard]] Duration shortestStageTime(const Request &request, std::uint32_t belowLevel) const;
+    [[nodiscard]] std::optional<AnswerKind> checkAdmission(Request &request);
+    [[nodiscard]] Duration minimumStageTime(const Request &request, std::uint32_t belowLevel) const;
     [[nodiscard]] StageForecast forecast(const Catalog &catalog);
-    [[nodiscard]] std::optional<TimePoint> expectedAnswer(const Request &request);
+    [[nodiscard]] std::optional<TimePoint> forecastResponse(const Request &request);
     [[nodiscard]] Duration expectedRunTime(const Request &request);
-    [[nodiscard]] bool isHopeless(Request &request);
-    [[nodiscard]] PoolName drawPool(const Route &route, const std::string &attempt) const;
+    [[nodiscard]] bool wouldBeTooLate(Request &request);
+    [[nodiscard]] PoolName selectPool(const Route &route, const std::string &attempt) const;
 
-    // Queues kept by peers.
+    // Queues owned by peers.
     void place(StageTask task);
     [[nodiscard]] std::vector<HeldResults> heldOfOthers(const PoolName &pool, std::uint64_t scheduler) const;
     void placeHeldBack();
@@ -125,59 +129,59 @@
     // Stages.
     void advance(Request &request);
     void startLevel(Request &request);
-    void startDelayed();
+    void startDelayedStages();
     void submitStage(Request &request, std::uint32_t stage);
-    [[nodiscard]] ZoneName zoneOf(const Request &request, std::uint32_t stage);
-    void takeOutcomes();
+    [[nodiscard]] ZoneName preferredZone(const Request &request, std::uint32_t stage);
+    void processStageOutcomes();
     void take(const StageOutcome &outcome, std::uint64_t scheduler);
     void takeForPeer(StageTaskId id, const StageOutcome &outcome);
-    void stageFailed(Request &request, PieceFailure failure);
+    void handleStageFailure(Request &request, PieceFailure failure);
     [[nodiscard]] static bool mayRestartStages(const Request &request);
     void restartStages(Request &request);
-    void release(StageProgress &stage);
-    void releaseAll(Request &request);
-    [[nodiscard]] TimePoint inputsLapse(const Request &request, const std::vector<std::uint32_t> &stages) const;
+    void releaseResults(StageProgress &stage);
+    void cancelStages(Request &request);
+    [[nodiscard]] TimePoint inputExpiry(const Request &request, const std::vector<std::uint32_t> &stages) const;
     [[nodiscard]] std::vector<KeptResult> inputsOf(const Request &request,
                                                    const std::vector<std::uint32_t> &stages) const;
-    void giveUp(const std::vector<KeptResult> &results);
-    [[nodiscard]] bool isShortOfRoom(const KeptResult &result);
+    void freeResults(const std::vector<KeptResult> &results);
+    [[nodiscard]] bool isResultMemoryScarce(const KeptResult &result);
 
     // Engines.
-    void listEngines();
+    void updateEngines();
     [[nodiscard]] std::map<ZoneName, std::uint64_t> inputBytesByZone(const Request &request);
-    void awaitFetch(Request &request, const engines::EngineChoice &choice);
-    void giveUpFetchedInputs();
+    void scheduleInputRelease(Request &request, const engines::EngineChoice &choice);
+    void releaseFetchedInputs();
     [[nodiscard]] std::optional<engines::EngineChoice> chooseEngine(const Request &request);
 
     // Runs.
     void startRun(Request &request);
-    [[nodiscard]] bool mayRunAt(const Request &request, const Endpoint &endpoint) const;
-    [[nodiscard]] bool isServed(const Request &request) const;
-    [[nodiscard]] std::vector<Endpoint *> candidates(const Request &request);
+    [[nodiscard]] bool isRegionAllowed(const Request &request, const Endpoint &endpoint) const;
+    [[nodiscard]] bool hasAllowedEndpoint(const Request &request) const;
+    [[nodiscard]] std::vector<Endpoint *> candidateEndpoints(const Request &request);
     [[nodiscard]] std::set<ZoneName> inputZones(const Request &request);
-    void noteFetch(const Request &request, bool isFetched);
-    [[nodiscard]] bool isOutOfReach(const Request &request);
-    void eraseUnreached(std::vector<Endpoint *> &endpoints, const std::set<ZoneName> &inputs) const;
-    void retryOrGiveUp(Request &request, bool mayHaveRun, AnswerKind otherwise);
-    void reviewSilentRuns();
-    [[nodiscard]] bool isSilent(const Request &request) const;
+    void recordFetch(const Request &request, bool isFetched);
+    [[nodiscard]] bool areInputsUnreachable(const Request &request);
+    void removeUnreachable(std::vector<Endpoint *> &endpoints, const std::set<ZoneName> &inputs) const;
+    void retryOrFail(Request &request, bool mayHaveRun, AnswerKind otherwise);
+    void checkStalledRuns();
+    [[nodiscard]] bool isStalled(const Request &request) const;
     void endRun(Request &request, std::optional<EndpointSign> sign);
-    void runBroke(Request &request, const std::string &reason);
-    void passOn(Request &request);
+    void failRun(Request &request, const std::string &reason);
+    void forwardResponse(Request &request);
 
-    // Answers.
-    void refuse(Request &request, AnswerKind kind, const std::string &reason);
+    // Responses.
+    void reject(Request &request, AnswerKind kind, const std::string &reason);
     void finish(Request &request, std::string_view outcome);
-    void observeEnd(const Request &request, std::string_view outcome);
-    [[nodiscard]] std::string admissionReason(AnswerKind kind) const;
-    void expire();
+    void recordMetrics(const Request &request, std::string_view outcome);
+    [[nodiscard]] std::string rejectionReason(AnswerKind kind) const;
+    void expireRequests();
 
     Request *find(CallId call);
     Request *find(RunNumber run);
     void log(const Request &request, std::string text, std::vector<std::pair<std::string, std::string>> fields,
              Severity severity = Severity::Info);
 
-    /*! @brief A peer's task, and its results so far. */
+    /*! @brief Task that a peer submitted, with the outcomes so far. */
     struct PeerTask
     {
         PeerTaskNumber number{};
@@ -196,30 +200,33 @@
     FetchPaths m_paths;
     StageScheduler m_stages;
     engines::EngineTable m_engines;
-    FirstEventTimes m_firstEvents;
+    FirstEventTimes m_firstEventTimes;
     std::uint64_t m_incarnation;
     std::map<CallId, Request> m_requests;
     std::map<RunNumber, CallId> m_runs;
+    /*! @brief Request and stage of each task. */
     std::map<StageTaskId, std::pair<CallId, std::uint32_t>> m_tasks;
-    /*! @brief Tasks that wait until the process has met its peers. */
+    /*! @brief Tasks that wait until the view of the peers has settled. */
     std::map<StageTaskId, StageTask> m_heldBack;
-    /*! @brief Tasks handed to peers. */
+    /*! @brief Tasks delegated to peers, with the peer. */
     std::map<StageTaskId, std::pair<InstanceName, StageTask>> m_handed;
-    /*! @brief Tasks of peers, by the identity that they have here. */
+    /*! @brief Tasks submitted by peers, by their local identity. */
     std::map<StageTaskId, PeerTask> m_peerTasks;
     std::map<PeerTaskNumber, StageTaskId> m_peerNumbers;
-    /*! @brief Pools with tasks here whose queue another process keeps, and since when. */
+    /*! @brief Pools with tasks here whose queue another process owns, and since when. */
     std::map<PoolName, TimePoint> m_lostQueues;
-    std::set<std::pair<TimePoint, CallId>> m_limits;
-    /*! @brief Stages whose start is put off. */
-    std::set<std::tuple<TimePoint, CallId, std::uint32_t>> m_starts;
-    /*! @brief Runs whose engine will have fetched their inputs. */
-    std::set<std::pair<TimePoint, CallId>> m_fetches;
+    /*! @brief Requests by deadline. */
+    std::set<std::pair<TimePoint, CallId>> m_deadlines;
+    /*! @brief Delayed stages, by start time. */
+    std::set<std::tuple<TimePoint, CallId, std::uint32_t>> m_delayedStages;
+    /*! @brief Requests whose inputs can be freed, by the time at which their engine has fetched them. */
+    std::set<std::pair<TimePoint, CallId>> m_inputReleases;
     TimePoint m_heartbeatAt{};
     std::uint64_t m_nextRun{1};
     std::uint64_t m_nextTask{1};
     bool m_draining{};
-    TimePoint m_refusingFrom{};
+    /*! @brief When a draining process begins to reject new requests. */
+    TimePoint m_rejectingFrom{};
 };
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/servingruns.cpp
+++ b/src/bergamottide/serving/servingruns.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr int firstFailureStatus = 500;
-/*! @brief Most urgent and least urgent rank that an engine knows. */
-constexpr int leastUrgent = 9;
+/*! @brief Lowest priority that an engine accepts; zero is the highest. */
+constexpr int leastUrgentRank = 9;
 
-/*! @brief An endpoint is silent after this many times the typical time to an answer's begin, but not before some time.
+/*! @brief A run is stalled without response headers after this multiple of the pool's average, at least `minStallTime`.
  */
-constexpr int silenceFactor = 6;
-constexpr Duration shortestSilence = std::chrono::milliseconds{1000};
+constexpr int stallFactor = 6;
+constexpr Duration minStallTime = std::chrono::milliseconds{1000};
 
 engines::GenerationNumber generationOf(RunNumber run)
 {
@@ -32,36 +32,36 @@
 
 } // namespace
 
-/*! @brief Tells if an endpoint lies where the request may run. */
-bool ServingReducer::mayRunAt(const Request &request, const Endpoint &endpoint) const
+/*! @brief Returns whether the request may run in the endpoint's region. */
+bool ServingReducer::isRegionAllowed(const Request &request, const Endpoint &endpoint) const
 {
     return m_regions.allows(*request.route, request.workspace, endpoint.record.zone);
 }
 
-/*! @brief Tells if any endpoint of the request's pool takes its work. */
-bool ServingReducer::isServed(const Request &request) const
+/*! @brief Returns whether any usable endpoint of the request's pool lies in an allowed region. */
+bool ServingReducer::hasAllowedEndpoint(const Request &request) const
 {
-    return std::ranges::any_of(m_endpoints.usable(request.pool, m_now),
-                               [this, &request](const Endpoint *endpoint) { return mayRunAt(request, *endpoint); });
+    return std::ranges::any_of(m_endpoints.usable(request.pool, m_now), [this, &request](const Endpoint *endpoint) {
+        return isRegionAllowed(request, *endpoint);
+    });
 }
 
-/*! @brief Returns the endpoints to which a request may be sent now. */
-std::vector<Endpoint *> ServingReducer::candidates(const Request &request)
+/*! @brief Returns the endpoints to which the request may be sent now. */
+std::vector<Endpoint *> ServingReducer::candidateEndpoints(const Request &request)
 {
     std::vector<Endpoint *> out = m_endpoints.usable(request.pool, m_now);
     const Pool *pool = request.catalog->pool(request.pool);
     if (m_paths.hasFailures()) {
-        eraseUnreached(out, inputZones(request));
+        removeUnreachable(out, inputZones(request));
     }
     std::erase_if(out, [this, &request, pool](const Endpoint *endpoint) {
-        return !mayRunAt(request, *endpoint) || (pool != nullptr && !m_warmup.admits(*pool, *endpoint, m_now));
+        return !isRegionAllowed(request, *endpoint) || (pool != nullptr && !m_warmup.admits(*pool, *endpoint, m_now));
     });
     return out;
 }
 
-/*! @brief Leaves out endpoints that cannot fetch inputs; where none can, one is tried all the same: the paths may be
- * whole again. */
-void ServingReducer::eraseUnreached(std::vector<Endpoint *> &endpoints, const std::set<ZoneName> &inputs) const
+/*! @brief Removes endpoints that cannot fetch the inputs, unless none can: a path may have recovered. */
+void ServingReducer::removeUnreachable(std::vector<Endpoint *> &endpoints, const std::set<ZoneName> &inputs) const
 {
     const auto isUnreached = [this, &inputs](const Endpoint *endpoint) {
         return m_paths.isBroken(inputs, endpoint->record.zone, m_now);
@@ -71,7 +71,7 @@
     }
 }
 
-/*! @brief Returns the zones in which the inputs of a request's run lie. */
+/*! @brief Returns the zones in which the inputs of the request's run are stored. */
 std::set<ZoneName> ServingReducer::inputZones(const Request &request)
 {
     std::set<ZoneName> zones;
@@ -89,19 +89,19 @@
     if (choice) {
         endpoint = m_endpoints.find(choice->engine);
     } else if (!isGeneration) {
-        endpoint = pickLeastLoaded(candidates(request), request.tried, request.in->attempt);
+        endpoint = pickLeastLoaded(candidateEndpoints(request), request.triedEndpoints, request.callerRequest->attempt);
     }
     if (endpoint == nullptr) {
-        refuse(request, request.mayHaveRun ? AnswerKind::BadGateway : AnswerKind::Unavailable, "no endpoint is left");
+        reject(request, request.mayHaveRun ? AnswerKind::BadGateway : AnswerKind::Unavailable, "no endpoint available");
         return;
     }
     StartRun start;
     start.run = RunNumber{m_nextRun++};
     start.instance = endpoint->record.instance;
     start.address = endpoint->record.address;
-    start.deadline = request.limit - m_now;
+    start.deadline = request.deadline - m_now;
     start.workspace = request.workspace.name;
-    start.urgency = isGeneration ? std::clamp(request.route->priority, 0, leastUrgent) : -1;
+    start.urgency = isGeneration ? std::clamp(request.route->priority, 0, leastUrgentRank) : -1;
     std::vector<std::uint32_t> leaves;
     for (std::uint32_t stage = 0; stage < request.stages.size(); ++stage) {
         if (request.route->stages[stage].isLeaf) {
@@ -111,10 +111,10 @@
     for (const KeptResult &input : inputsOf(request, leaves)) {
         start.inputs.push_back(input.handle);
     }
-    if (const auto last = request.events.last(); last && request.begun) {
+    if (const auto last = request.eventSplitter.last(); last && request.isStreamStarted) {
         start.lastEvent = absl::StrCat(*last);
     } else {
-        start.lastEvent = request.in->lastEvent;
+        start.lastEvent = request.callerRequest->lastEvent;
     }
     if (choice) {
         if (const Endpoint *source = m_endpoints.find(choice->fetchFrom); source != nullptr) {
@@ -123,23 +123,23 @@
         m_engines.sent(
             {generationOf(start.run), choice->engine, request.prompt, choice->toRead, choice->ahead, choice->expected},
             m_now);
-        awaitFetch(request, *choice);
+        scheduleInputRelease(request, *choice);
     }
     start.mayRunTwice = request.route->mayRunTwice();
-    start.request = request.in;
+    start.request = request.callerRequest;
     request.run = start.run;
-    request.runStarted = m_now;
-    request.isSuspected = false;
+    request.runStartedAt = m_now;
+    request.isStallDetected = false;
     request.endpoint = start.instance;
-    request.tried.push_back(start.instance);
+    request.triedEndpoints.push_back(start.instance);
     request.head.reset();
     request.body.clear();
-    m_runs.emplace(start.run, request.in->call);
+    m_runs.emplace(start.run, request.callerRequest->call);
     m_endpoints.started(start.instance);
     if (const Pool *pool = request.catalog->pool(request.pool); pool != nullptr) {
         WarmupLimiter::noteSent(*pool, *endpoint, m_now);
     }
-    log(request, "A request is sent to an endpoint.",
+    log(request, "Request sent to endpoint.",
         {{"route", request.route->name},
          {"endpoint", start.instance.text()},
          {"address", start.address},
@@ -148,22 +148,22 @@
          {"ahead", absl::StrCat(choice ? static_cast<std::uint64_t>(choice->ahead) : 0)},
          {"expected_ms", absl::StrCat(choice ? choice->expected.count() / 1000 : 0)},
          {"fetch_from", start.fetchFrom},
-         {"sends", absl::StrCat(request.tried.size())}});
+         {"sends", absl::StrCat(request.triedEndpoints.size())}});
     m_effects.emplace_back(std::move(start));
 }
 
-/*! @brief Notes whether the engine of a request has got its inputs. */
-void ServingReducer::noteFetch(const Request &request, bool isFetched)
+/*! @brief Records whether the request's engine could fetch its inputs. */
+void ServingReducer::recordFetch(const Request &request, bool isFetched)
 {
-    const bool isNews = !isFetched || m_paths.hasFailures();
-    const Endpoint *engine = isNews ? m_endpoints.find(request.endpoint) : nullptr;
+    const bool hasChanged = !isFetched || m_paths.hasFailures();
+    const Endpoint *engine = hasChanged ? m_endpoints.find(request.endpoint) : nullptr;
     if (engine != nullptr) {
         m_paths.note(inputZones(request), engine->record.zone, isFetched, m_now);
     }
 }
 
-/*! @brief Tells if the engine of a request cannot reach its inputs, so that engines of other zones may. */
-bool ServingReducer::isOutOfReach(const Request &request)
+/*! @brief Returns whether the request's engine cannot reach its inputs; engines of other zones may. */
+bool ServingReducer::areInputsUnreachable(const Request &request)
 {
     const Endpoint *engine = m_endpoints.find(request.endpoint);
     return engine != nullptr && m_paths.isBroken(inputZones(request), engine->record.zone, m_now);
@@ -176,7 +176,7 @@
         return;
     }
     m_endpoints.answered(request->endpoint, m_now);
-    m_firstEvents.note(request->pool, m_now - request->runStarted);
+    m_firstEventTimes.record(request->pool, m_now - request->runStartedAt);
     if (event.head.load) {
         m_endpoints.told(request->endpoint, *event.head.load, m_now);
     }
@@ -185,7 +185,8 @@
     }
     if (event.head.foreign || (isSuccess(event.head.status) && !event.head.sealed)) {
         m_effects.emplace_back(CancelRun{event.run});
-        runBroke(*request, event.head.foreign ? "the answer names another request" : "the success is not signed");
+        failRun(*request,
+                event.head.foreign ? "response belongs to another request" : "successful response is not signed");
         return;
     }
     request->head = event.head;
@@ -193,38 +194,38 @@
         m_effects.emplace_back(CancelRun{event.run});
         endRun(*request, EndpointSign::Rejected);
         if (event.head.inputsGone) {
-            noteFetch(*request, false);
+            recordFetch(*request, false);
         }
-        if (event.head.inputsGone && !isOutOfReach(*request)) {
+        if (event.head.inputsGone && !areInputsUnreachable(*request)) {
             for (StageProgress &stage : request->stages) {
-                release(stage);
+                releaseResults(stage);
             }
         }
-        retryOrGiveUp(*request, false, AnswerKind::Unavailable);
+        retryOrFail(*request, false, AnswerKind::Unavailable);
         return;
     }
     request->mayHaveRun = true;
     if (request->route->kind != RouteKind::Streaming || !isSuccess(event.head.status)) {
         return;
     }
-    noteFetch(*request, true);
+    recordFetch(*request, true);
     m_engines.began(generationOf(event.run), m_now);
-    if (!request->begun) {
+    if (!request->isStreamStarted) {
         m_effects.emplace_back(Observe{Metric::FirstEventSeconds,
                                        {request->pool.text()},
-                                       std::chrono::duration<double>(m_now - request->runStarted).count()});
-        log(*request, "A stream begins.",
+                                       std::chrono::duration<double>(m_now - request->runStartedAt).count()});
+        log(*request, "Stream started.",
             {{"endpoint", request->endpoint.text()},
              {"wait_ms",
               absl::StrCat(
-                  std::chrono::duration_cast<std::chrono::milliseconds>(m_now - request->runStarted).count())}});
-        request->begun = true;
+                  std::chrono::duration_cast<std::chrono::milliseconds>(m_now - request->runStartedAt).count())}});
+        request->isStreamStarted = true;
         request->firstEventAt = m_now;
-        m_effects.emplace_back(BeginStream{request->in->call, event.head.status, event.head.headers});
+        m_effects.emplace_back(BeginStream{request->callerRequest->call, event.head.status, event.head.headers});
         return;
     }
-    // A resumed stream goes on inside the answer begun before; what had not come whole is sent again.
-    request->events = EventSplitter{request->events.last()};
+    // A resumed stream continues the response already started; the new endpoint repeats an incomplete event.
+    request->eventSplitter = EventSplitter{request->eventSplitter.last()};
 }
 
 void ServingReducer::on(const RunReceived &event)
@@ -233,22 +234,22 @@
     if (request == nullptr || !request->head) {
         return;
     }
-    if (!request->begun || !isSuccess(request->head->status)) {
+    if (!request->isStreamStarted || !isSuccess(request->head->status)) {
         request->body += event.bytes;
         return;
     }
-    std::string events = request->events.take(event.bytes);
+    std::string events = request->eventSplitter.take(event.bytes);
     if (!events.empty()) {
-        // The engine has fetched its inputs by now. A stream that breaks off later has them made again: that is rare,
-        // while the room of the pools is what binds under a burst.
+        // The engine has fetched its inputs by the first event. Freeing them now relieves the stage pools; a stream
+        // that fails later has to repeat its stages.
         for (StageProgress &stage : request->stages) {
-            release(stage);
+            releaseResults(stage);
         }
-        m_effects.emplace_back(StreamEvents{request->in->call, std::move(events)});
+        m_effects.emplace_back(StreamEvents{request->callerRequest->call, std::move(events)});
     }
-    if (request->events.isBroken()) {
+    if (request->eventSplitter.isBroken()) {
         m_effects.emplace_back(CancelRun{event.run});
-        runBroke(*request, "an event is missing");
+        failRun(*request, "event ID skipped");
     }
 }
 
@@ -258,38 +259,38 @@
     if (request == nullptr) {
         return;
     }
-    if (!request->head || (request->begun && request->events.inEvent())) {
-        runBroke(*request, request->head ? "the stream ends in an event" : "an answer without a head");
+    if (!request->head || (request->isStreamStarted && request->eventSplitter.inEvent())) {
+        failRun(*request, request->head ? "stream ends within an event" : "response without headers");
         return;
     }
     const int status = request->head->status;
     if (status >= firstFailureStatus) {
         endRun(*request, EndpointSign::Failed);
-        const bool again = request->route->mayRunTwice() && request->tried.size() < request->route->maxAttempts
+        const bool again = request->route->mayRunTwice() && request->triedEndpoints.size() < request->route->maxAttempts
             && m_budget.take(request->pool, m_now);
         if (again) {
             startRun(*request);
             return;
         }
-        passOn(*request);
+        forwardResponse(*request);
         return;
     }
     endRun(*request, EndpointSign::Good);
-    passOn(*request);
+    forwardResponse(*request);
 }
 
-void ServingReducer::passOn(Request &request)
+void ServingReducer::forwardResponse(Request &request)
 {
-    const CallId call = request.in->call;
+    const CallId call = request.callerRequest->call;
     const int status = request.head->status;
-    if (request.begun && isSuccess(status)) {
+    if (request.isStreamStarted && isSuccess(status)) {
         m_effects.emplace_back(FinishStream{call});
-    } else if (request.begun) {
+    } else if (request.isStreamStarted) {
         m_effects.emplace_back(AbortStream{call});
     } else {
         m_effects.emplace_back(AnswerCaller{call, status, request.head->headers, std::move(request.body)});
     }
-    log(request, "A request is answered.", {{"status", absl::StrCat(status)}, {"endpoint", request.endpoint.text()}});
+    log(request, "Response forwarded.", {{"status", absl::StrCat(status)}, {"endpoint", request.endpoint.text()}});
     finish(request, isSuccess(status) ? "completed" : "endpoint_failed");
 }
 
@@ -301,38 +302,38 @@
     }
     if (event.failure == RunFailure::Unreached) {
         endRun(*request, EndpointSign::Unreached);
-        // Nothing was sent, so this does not count as a send to an endpoint.
-        retryOrGiveUp(*request, false, AnswerKind::Unavailable);
+        // Nothing was sent, so the request was not executed.
+        retryOrFail(*request, false, AnswerKind::Unavailable);
         return;
     }
-    runBroke(*request, "the connection broke or the answer is not whole");
+    failRun(*request, "connection lost or response incomplete");
 }
 
-void ServingReducer::runBroke(Request &request, const std::string &reason)
+void ServingReducer::failRun(Request &request, const std::string &reason)
 {
-    log(request, "A run has failed.",
+    log(request, "Run failed.",
         {{"reason", reason},
          {"endpoint", request.endpoint.text()},
          {"status", absl::StrCat(request.head ? request.head->status : 0)},
          {"run_ms",
-          absl::StrCat(std::chrono::duration_cast<std::chrono::milliseconds>(m_now - request.runStarted).count())}},
+          absl::StrCat(std::chrono::duration_cast<std::chrono::milliseconds>(m_now - request.runStartedAt).count())}},
         Severity::Warning);
     request.mayHaveRun = true;
     ++request.executions;
     endRun(request, EndpointSign::Failed);
-    retryOrGiveUp(request, true, AnswerKind::BadGateway);
+    retryOrFail(request, true, AnswerKind::BadGateway);
 }
 
-void ServingReducer::retryOrGiveUp(Request &request, bool mayHaveRun, AnswerKind otherwise)
+void ServingReducer::retryOrFail(Request &request, bool mayHaveRun, AnswerKind otherwise)
 {
-    // A rejection is not a run, so one more endpoint than runs are allowed may be asked after it.
+    // A rejected request was not executed, so one more endpoint may be tried than may execute it.
     const std::size_t sends = request.route->maxAttempts + (mayHaveRun ? 0 : 1);
     const bool allowed = !mayHaveRun || request.route->mayRunTwice();
-    if (allowed && request.tried.size() < sends && request.executions < request.route->maxAttempts
+    if (allowed && request.triedEndpoints.size() < sends && request.executions < request.route->maxAttempts
         && m_budget.take(request.pool, m_now)) {
-        log(request, "A request is sent again.",
+        log(request, "Retrying request.",
             {{"may_have_run", mayHaveRun ? "yes" : "no"}, {"endpoint", request.endpoint.text()}}, Severity::Warning);
-        if (!request.lacksResults()) {
+        if (!request.hasReleasedInputs()) {
             startRun(request);
             return;
         }
@@ -341,49 +342,50 @@
             return;
         }
     }
-    if (request.begun) {
-        m_effects.emplace_back(AbortStream{request.in->call});
-        log(request, "A stream is broken off.",
-            {{"reason", "its endpoint failed"}, {"endpoint", request.endpoint.text()}}, Severity::Warning);
+    if (request.isStreamStarted) {
+        m_effects.emplace_back(AbortStream{request.callerRequest->call});
+        log(request, "Stream aborted.", {{"reason", "endpoint failed"}, {"endpoint", request.endpoint.text()}},
+            Severity::Warning);
         finish(request, "broken_off");
         return;
     }
-    refuse(request, request.mayHaveRun ? AnswerKind::BadGateway : otherwise,
-           mayHaveRun ? "its endpoint failed" : "no endpoint takes it");
+    reject(request, request.mayHaveRun ? AnswerKind::BadGateway : otherwise,
+           mayHaveRun ? "endpoint failed" : "no endpoint accepted the request");
 }
 
-bool ServingReducer::isSilent(const Request &request) const
+bool ServingReducer::isStalled(const Request &request) const
 {
-    const Duration longest = std::max(m_firstEvents.typical(request.pool) * silenceFactor, shortestSilence);
-    return request.run && !request.head && m_now - request.runStarted > longest;
+    const Duration longest = std::max(m_firstEventTimes.average(request.pool) * stallFactor, minStallTime);
+    return request.run && !request.head && m_now - request.runStartedAt > longest;
 }
 
 /*
- * Answers endpoints that take work and answer nothing: a failure that shows only by its absence, so that without this
- * review they would go on to get their share until each of its requests had run out of time.
+ * Detects endpoints that accept requests but never respond. Without this check they would keep receiving requests until
+ * the first of them reach their deadline.
  */
-void ServingReducer::reviewSilentRuns()
+void ServingReducer::checkStalledRuns()
 {
-    std::vector<CallId> silent;
+    std::vector<CallId> stalled;
     for (const auto &[call, request] : m_requests) {
-        if (!request.isSuspected && isSilent(request)) {
-            silent.push_back(call);
+        if (!request.isStallDetected && isStalled(request)) {
+            stalled.push_back(call);
         }
     }
-    for (const CallId call : silent) {
+    for (const CallId call : stalled) {
         Request &request = *find(call);
-        request.isSuspected = true;
-        log(request, "An endpoint is silent.", {{"endpoint", request.endpoint.text()}, {"pool", request.pool.text()}},
-            Severity::Warning);
-        m_endpoints.suspect(request.endpoint, request.runStarted, m_now, m_effects);
-        const bool mayRepeat = request.route->mayRunTwice() && request.tried.size() < request.route->maxAttempts;
+        request.isStallDetected = true;
+        log(request, "Endpoint does not respond.",
+            {{"endpoint", request.endpoint.text()}, {"pool", request.pool.text()}}, Severity::Warning);
+        m_endpoints.suspect(request.endpoint, request.runStartedAt, m_now, m_effects);
+        const bool mayRepeat =
+            request.route->mayRunTwice() && request.triedEndpoints.size() < request.route->maxAttempts;
         const std::vector<Endpoint *> usable = m_endpoints.usable(request.pool, m_now);
         const bool hasOther = std::any_of(usable.begin(), usable.end(), [&request](const Endpoint *endpoint) {
             return endpoint->record.instance != request.endpoint;
         });
         if (mayRepeat && hasOther) {
             m_effects.emplace_back(CancelRun{*request.run});
-            runBroke(request, "the endpoint is silent");
+            failRun(request, "endpoint does not respond");
         }
     }
 }
--- a/src/bergamottide/serving/servingstages.cpp
+++ b/src/bergamottide/serving/servingstages.cpp
@@ -9,37 +9,37 @@
 
 namespace {
 
-/*! @brief Times that stages of a request are made again since an input was gone; each costs a whole chain of calls. */
-constexpr std::uint32_t mostStageRestarts = 2;
-/*! @brief Share, in percent, of the difference to the slowest stage beside it by which a faster stage starts later:
- * estimates err. */
-constexpr int justInTimeShare = 80;
-/*! @brief Bytes that a stage moves from which on a zone is preferred, where that costs no time: below, the price of
- * waiting is higher. */
-constexpr std::uint64_t manyBytes = 200'000;
-/*! @brief Differences below this are not worth a wakeup. */
-constexpr Duration shortestDelay = std::chrono::milliseconds{20};
+/*! @brief Maximum restarts of a request's stages after the loss of an input; each repeats the whole chain of calls. */
+constexpr std::uint32_t maxStageRestarts = 2;
+/*! @brief Delay of a faster stage, in percent of its lead over the slowest stage of the level; below 100 to allow for
+ * forecast errors. */
+constexpr int startDelayPercent = 80;
+/*! @brief Traffic between zones, in bytes, from which a stage prefers a zone; below, waiting for the zone costs more
+ * than it saves. */
+constexpr std::uint64_t minBytesForZonePreference = 200'000;
+/*! @brief Shorter delays of a stage are not worth a wakeup. */
+constexpr Duration minStartDelay = std::chrono::milliseconds{20};
 
-/*! @brief Share of a pool's memory for results above which room counts as scarce: a full call takes a third of it. */
-constexpr double scarceRoom = 0.6;
-/*! @brief Part of the time for which a result is kept that is not counted on: it began when the result was made, not
- * when it was heard of. */
-constexpr Duration lapseMargin = std::chrono::milliseconds{300};
+/*! @brief Used share of a pool's result memory above which it counts as scarce. */
+constexpr double scarceMemoryShare = 0.6;
+/*! @brief Subtracted from the lifetime of a result, which begins at the endpoint before the result is reported. */
+constexpr Duration resultTtlMargin = std::chrono::milliseconds{300};
 
 } // namespace
 
 void ServingReducer::on(const StageCallEnded &event)
 {
     m_stages.ended(event, m_now, m_effects);
-    takeOutcomes();
+    processStageOutcomes();
 }
 
+/*! @brief Starts the next level with stages once the current one is done; starts the run after the last. */
 void ServingReducer::advance(Request &request)
 {
     while (request.level > 0) {
-        const bool busy = std::any_of(request.stages.begin(), request.stages.end(),
-                                      [](const StageProgress &stage) { return stage.task || stage.startAt; });
-        if (busy) {
+        const bool isBusy = std::any_of(request.stages.begin(), request.stages.end(),
+                                        [](const StageProgress &stage) { return stage.task || stage.startAt; });
+        if (isBusy) {
             return;
         }
         --request.level;
@@ -53,8 +53,8 @@
 }
 
 /*
- * Stages start level by level, counted from the end: one whose result is needed late is made late. Large results then
- * stay in the scarce memory of their makers only while the last level is at work, not for the length of the chain.
+ * Starts the stages of the current level. Levels count from the end of the route, so that a stage runs as late as its
+ * result is needed and large results occupy endpoint memory only briefly.
  */
 void ServingReducer::startLevel(Request &request)
 {
@@ -71,22 +71,22 @@
         }
     }
     for (const auto &[stage, time] : expected) {
-        const Duration delay = (longest - time) * justInTimeShare / 100;
-        if (delay < shortestDelay) {
+        const Duration delay = (longest - time) * startDelayPercent / 100;
+        if (delay < minStartDelay) {
             submitStage(request, stage);
             continue;
         }
-        // Results of the faster stage would only wait, in memory that others need, for those of the slower.
+        // An earlier result would only occupy memory until the slowest stage is done.
         request.stages[stage].startAt = m_now + delay;
-        m_starts.emplace(m_now + delay, request.in->call, stage);
+        m_delayedStages.emplace(m_now + delay, request.callerRequest->call, stage);
     }
 }
 
-void ServingReducer::startDelayed()
+void ServingReducer::startDelayedStages()
 {
-    while (!m_starts.empty() && std::get<TimePoint>(*m_starts.begin()) <= m_now) {
-        const auto [due, call, stage] = *m_starts.begin();
-        m_starts.erase(m_starts.begin());
+    while (!m_delayedStages.empty() && std::get<TimePoint>(*m_delayedStages.begin()) <= m_now) {
+        const auto [due, call, stage] = *m_delayedStages.begin();
+        m_delayedStages.erase(m_delayedStages.begin());
         Request *request = find(call);
         if (request != nullptr && request->stages[stage].startAt == due) {
             request->stages[stage].startAt.reset();
@@ -103,21 +103,21 @@
     task.id = StageTaskId{m_nextTask++};
     task.pool = spec.pool;
     task.rank = request.rank;
-    task.deadline = inputsLapse(request, spec.after);
-    task.due = request.objective - request.runTime - shortestStageTime(request, spec.level + 1);
-    task.attempt = request.in->attempt;
+    task.deadline = inputExpiry(request, spec.after);
+    task.due = request.objective - request.expectedRunTime - minimumStageTime(request, spec.level + 1);
+    task.attempt = request.callerRequest->attempt;
     task.stage = stage;
     task.pieces = progress.pieces;
     task.inputs = inputsOf(request, spec.after);
-    task.key = task.inputs.empty() ? request.in->pieceKey : std::string{};
+    task.key = task.inputs.empty() ? request.callerRequest->pieceKey : std::string{};
     task.resultBytes = spec.resultBytes;
-    task.zone = zoneOf(request, stage);
+    task.zone = preferredZone(request, stage);
     progress.pool = spec.pool;
     progress.task = task.id;
-    progress.made = 0;
+    progress.completedPieces = 0;
     progress.results.assign(progress.pieces, {});
     progress.isReleased = false;
-    m_tasks.emplace(task.id, std::pair{request.in->call, stage});
+    m_tasks.emplace(task.id, std::pair{request.callerRequest->call, stage});
     m_budget.sent(spec.pool, m_now);
     place(std::move(task));
 }
@@ -137,10 +137,10 @@
 }
 
 /*
- * Each piece fetches all of its inputs, so a stage of many pieces moves its inputs many times over: of the bytes
- * between zones, most are inputs. The zone that spares most of them is preferred.
+ * Returns the zone in which running a stage saves most traffic between zones; empty if it saves little. Every piece
+ * fetches all inputs, so inputs make up most of the traffic.
  */
-ZoneName ServingReducer::zoneOf(const Request &request, std::uint32_t stage)
+ZoneName ServingReducer::preferredZone(const Request &request, std::uint32_t stage)
 {
     const StageSpec &spec = request.route->stages[stage];
     const std::uint64_t pieces = request.stages[stage].pieces;
@@ -150,8 +150,8 @@
             continue;
         }
         for (const KeptResult &result : request.stages[before].results) {
-            if (const Endpoint *maker = m_endpoints.find(result.endpoint); maker != nullptr) {
-                bytes[maker->record.zone] += result.bytes * pieces;
+            if (const Endpoint *source = m_endpoints.find(result.endpoint); source != nullptr) {
+                bytes[source->record.zone] += result.bytes * pieces;
             }
         }
     }
@@ -162,35 +162,35 @@
     }
     const auto most = std::max_element(bytes.begin(), bytes.end(),
                                        [](const auto &left, const auto &right) { return left.second < right.second; });
-    return most == bytes.end() || most->second < manyBytes ? ZoneName{} : most->first;
+    return most == bytes.end() || most->second < minBytesForZonePreference ? ZoneName{} : most->first;
 }
 
 /*
- * A task that waits for longer than its inputs are kept fails at its turn, and its chain would have to be made again:
- * under saturation that multiplied the work. It is given up instead once its inputs are sure to lapse.
+ * Returns when the first input of a task may expire, at most the deadline. A task that is still queued then is given
+ * up: its call would fail and repeat the whole chain of stages.
  */
-TimePoint ServingReducer::inputsLapse(const Request &request, const std::vector<std::uint32_t> &stages) const
+TimePoint ServingReducer::inputExpiry(const Request &request, const std::vector<std::uint32_t> &stages) const
 {
-    TimePoint first = request.limit;
+    TimePoint first = request.deadline;
     for (const std::uint32_t stage : stages) {
         if (stage >= request.stages.size() || request.stages[stage].pieces == 0) {
             continue;
         }
         const Pool *pool = request.catalog->pool(request.route->stages[stage].pool);
         if (pool != nullptr && pool->batch && pool->batch->resultTtl > Duration::zero()) {
-            first = std::min(first, m_now + pool->batch->resultTtl - lapseMargin);
+            first = std::min(first, m_now + pool->batch->resultTtl - resultTtlMargin);
         }
     }
     return first;
 }
 
-void ServingReducer::takeOutcomes()
+void ServingReducer::processStageOutcomes()
 {
     for (const StageOutcome &outcome : m_stages.takeOutcomes()) {
         take(outcome, m_incarnation);
     }
     m_stages.dispatch(*m_catalog, m_now, m_effects);
-    giveUp(m_stages.takeUsedInputs());
+    freeResults(m_stages.takeUsedInputs());
 }
 
 void ServingReducer::take(const StageOutcome &outcome, std::uint64_t scheduler)
@@ -213,33 +213,33 @@
     if (outcome.result.handle.empty()) {
         progress.task.reset();
         m_tasks.erase(found);
-        stageFailed(*request, outcome.result.failure);
+        handleStageFailure(*request, outcome.result.failure);
         return;
     }
     progress.results[outcome.piece] = {outcome.result.handle, outcome.endpoint, outcome.address,
                                        request->route->stages[stage].resultBytes, scheduler};
-    if (++progress.made < progress.pieces) {
+    if (++progress.completedPieces < progress.pieces) {
         return;
     }
     progress.task.reset();
     m_tasks.erase(found);
     for (const std::uint32_t before : request->route->stages[stage].after) {
         if (before < request->stages.size()) {
-            // The scheduler that has had the results made of them has given them up.
+            // The scheduler of the finished task has already freed its inputs.
             request->stages[before].isReleased = true;
         }
     }
     advance(*request);
 }
 
-void ServingReducer::stageFailed(Request &request, PieceFailure failure)
+void ServingReducer::handleStageFailure(Request &request, PieceFailure failure)
 {
-    log(request, "A stage has failed.",
-        {{"reason", std::string{enumName(failure)}}, {"level", absl::StrCat(request.level)}}, Severity::Warning);
+    log(request, "Stage failed.", {{"reason", std::string{enumName(failure)}}, {"level", absl::StrCat(request.level)}},
+        Severity::Warning);
     const bool again =
         failure == PieceFailure::InputGone && mayRestartStages(request) && m_budget.take(request.pool, m_now);
     if (!again) {
-        refuse(request, request.mayHaveRun ? AnswerKind::BadGateway : AnswerKind::Unavailable,
+        reject(request, request.mayHaveRun ? AnswerKind::BadGateway : AnswerKind::Unavailable,
                absl::StrCat("stage failed: ", std::string{enumName(failure)}));
         return;
     }
@@ -248,39 +248,40 @@
 
 bool ServingReducer::mayRestartStages(const Request &request)
 {
-    return request.stageRestarts < mostStageRestarts;
+    return request.stageRestarts < maxStageRestarts;
 }
 
 void ServingReducer::restartStages(Request &request)
 {
     ++request.stageRestarts;
-    releaseAll(request);
+    cancelStages(request);
     for (StageProgress &stage : request.stages) {
-        stage.made = 0;
+        stage.completedPieces = 0;
         stage.startAt.reset();
     }
     request.level = request.route->topLevel() + 1;
     advance(request);
 }
 
-void ServingReducer::release(StageProgress &stage)
+void ServingReducer::releaseResults(StageProgress &stage)
 {
     if (stage.isReleased) {
         return;
     }
     stage.isReleased = true;
-    giveUp(stage.results);
+    freeResults(stage.results);
 }
 
-bool ServingReducer::isShortOfRoom(const KeptResult &result)
+/*! @brief Returns whether the pool that stores a result is short of memory for further results. */
+bool ServingReducer::isResultMemoryScarce(const KeptResult &result)
 {
     const Endpoint *endpoint = m_endpoints.find(result.endpoint);
     const auto found = endpoint == nullptr ? std::nullopt : outlook(endpoint->record.pool, 0);
-    return found && found->roomTaken > scarceRoom;
+    return found && found->roomTaken > scarceMemoryShare;
 }
 
-/*! @brief Gives results up at their endpoints, and tells the peers that account for the room there. */
-void ServingReducer::giveUp(const std::vector<KeptResult> &results)
+/*! @brief Frees results at their endpoints, and notifies the peers that account for the memory there. */
+void ServingReducer::freeResults(const std::vector<KeptResult> &results)
 {
     std::map<std::string, std::vector<std::string>> byAddress;
     std::map<InstanceName, TellReleased> byOwner;
@@ -308,7 +309,8 @@
     }
 }
 
-void ServingReducer::releaseAll(Request &request)
+/*! @brief Cancels the tasks of a request and frees its results. */
+void ServingReducer::cancelStages(Request &request)
 {
     for (StageProgress &stage : request.stages) {
         if (stage.task) {
@@ -320,7 +322,7 @@
             m_tasks.erase(*stage.task);
             stage.task.reset();
         }
-        release(stage);
+        releaseResults(stage);
     }
 }
 
