--- a/test/bergamottide/serving/servingfixture.h
+++ b/test/bergamottide/serving/servingfixture.h
@@ -9,7 +9,7 @@
 
 namespace bergamottide::test {
 
-/*! @brief A reducer under a virtual clock, with routes to a plain pool, a model pool and a stage pool. */
+/*! @brief A reducer with a virtual clock, and routes to a plain pool, a model pool and two stage pools. */
 class ServingFixture
 {
 public:
@@ -83,7 +83,7 @@
         return {request};
     }
 
-    /*! @brief Applies an event; keeps its effects apart from log lines and metrics. */
+    /*! @brief Applies an event; keeps its effects except log lines, metrics and heartbeats. */
     void apply(const serving::Event &event)
     {
         m_effects.clear();
@@ -95,19 +95,19 @@
         }
     }
 
-    /*! @brief Moves the clock and ticks. */
+    /*! @brief Advances the clock and applies a tick. */
     void pass(Duration time)
     {
         m_now += time;
         apply(serving::Tick{});
     }
 
-    /*! @brief Returns the effect of a type among those of the last event, or null. */
+    /*! @brief Returns the first effect of a type that the last event caused, or null. */
     template <typename Wanted>
     [[nodiscard]] const Wanted *effect() const
     {
-        for (const serving::Effect &one : m_effects) {
-            if (const auto *found = std::get_if<Wanted>(&one)) {
+        for (const serving::Effect &effect : m_effects) {
+            if (const auto *found = std::get_if<Wanted>(&effect)) {
                 return found;
             }
         }
--- a/test/bergamottide/serving/servingreducer.cpp
+++ b/test/bergamottide/serving/servingreducer.cpp
@@ -6,74 +6,74 @@
 using namespace bergamottide::serving;
 using bergamottide::test::ServingFixture;
 
-/*! @brief What becomes of a request: sent, repeated, answered or refused. */
+/*! @brief Request handling: admission, retries, error responses and resumed streams. */
 class ServingReducerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServingReducerTest);
-    CPPUNIT_TEST(plainAnswerIsPassedOnUnchanged);
-    CPPUNIT_TEST(unknownRouteAndKeyAreRefused);
-    CPPUNIT_TEST(withoutConfigurationNothingIsDenied);
-    CPPUNIT_TEST(nonIdempotentCallIsNotRepeatedAfterABreak);
-    CPPUNIT_TEST(nonIdempotentCallIsRepeatedAfterARejection);
-    CPPUNIT_TEST(idempotentCallIsRepeatedElsewhereAfterAFailure);
-    CPPUNIT_TEST(requestWithoutAnswerIsNeverSaidNotToHaveRun);
-    CPPUNIT_TEST(requestThatNoEndpointTookIsSaidNotToHaveRun);
-    CPPUNIT_TEST(unsealedSuccessIsNotPassedOn);
-    CPPUNIT_TEST(foreignAnswerIsNotPassedOn);
-    CPPUNIT_TEST(brokenStreamIsAborted);
-    CPPUNIT_TEST(resumableStreamGoesOnBehindItsLastWholeEvent);
-    CPPUNIT_TEST(silentEndpointGetsNoFurtherRequests);
-    CPPUNIT_TEST(idempotentCallAtASilentEndpointIsRepeatedElsewhere);
-    CPPUNIT_TEST(callerThatLeavesCancelsItsRun);
-    CPPUNIT_TEST(drainTakesRequestsOnlyAtItsBeginning);
-    CPPUNIT_TEST(stagesAreMadeBeforeTheRunAndFreedAtItsFirstEvent);
-    CPPUNIT_TEST(brokenStreamHasItsStagesMadeAgainBeforeItGoesOn);
-    CPPUNIT_TEST(requestThatCannotBeOnTimeIsRefusedAtOnce);
-    CPPUNIT_TEST(runWhoseInputsAreGoneHasItsStagesMadeAgain);
+    CPPUNIT_TEST(plainResponseIsForwardedUnchanged);
+    CPPUNIT_TEST(unknownRouteAndKeyAreRejected);
+    CPPUNIT_TEST(requestWithoutCatalogIsUnavailable);
+    CPPUNIT_TEST(nonIdempotentCallIsNotRetriedAfterConnectionLoss);
+    CPPUNIT_TEST(nonIdempotentCallIsRetriedAfterRejection);
+    CPPUNIT_TEST(idempotentCallIsRetriedAtAnotherEndpoint);
+    CPPUNIT_TEST(requestWithoutResponseTimesOutAsPossiblyExecuted);
+    CPPUNIT_TEST(requestIsUnavailableIfNoEndpointIsReachable);
+    CPPUNIT_TEST(unsignedSuccessIsNotForwarded);
+    CPPUNIT_TEST(responseToAnotherRequestIsNotForwarded);
+    CPPUNIT_TEST(interruptedStreamIsAborted);
+    CPPUNIT_TEST(resumableStreamContinuesAfterItsLastCompleteEvent);
+    CPPUNIT_TEST(unresponsiveEndpointGetsNoFurtherRequests);
+    CPPUNIT_TEST(idempotentCallAtUnresponsiveEndpointIsRetried);
+    CPPUNIT_TEST(callerDisconnectCancelsItsRun);
+    CPPUNIT_TEST(drainAcceptsRequestsOnlyAtItsStart);
+    CPPUNIT_TEST(stageResultsAreFreedAtTheFirstEvent);
+    CPPUNIT_TEST(interruptedStreamRepeatsItsStages);
+    CPPUNIT_TEST(requestThatCannotBeOnTimeIsRejectedOnArrival);
+    CPPUNIT_TEST(missingInputsRestartStages);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void brokenStreamHasItsStagesMadeAgainBeforeItGoesOn()
+    void interruptedStreamRepeatsItsStages()
     {
         RequestArrived arrival = m_fixture.arrival("/report/1");
         arrival.request.pieces = {1, 1};
         m_fixture.apply(arrival);
-        const RunNumber first = makeStages(2);
+        const RunNumber first = completeStages(2);
         m_fixture.apply(RunAnswered{first, ServingFixture::head()});
         m_fixture.apply(RunReceived{first, "id: 0\ndata: a\n\n"});
         CPPUNIT_ASSERT(m_fixture.effect<FreeResults>() != nullptr);
         m_fixture.apply(RunFailed{first, RunFailure::Broken});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
-        makeStages(2);
+        completeStages(2);
         const auto *start = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(start != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::string{"0"}, start->lastEvent);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, start->inputs.size());
     }
 
-    /*! @brief The owner of a queue tells of a wait that leaves no time; then of one that leaves enough. */
-    void requestThatCannotBeOnTimeIsRefusedAtOnce()
+    /*! @brief The queue owner first reports a wait beyond the objective, then a short one. */
+    void requestThatCannotBeOnTimeIsRejectedOnArrival()
     {
         RequestArrived arrival = m_fixture.arrival("/report/1");
         arrival.request.pieces = {1, 1};
-        m_fixture.apply(HeartbeatHeard{ownerWith(std::chrono::milliseconds{1400})});
+        m_fixture.apply(HeartbeatHeard{queueOwnerWithWait(std::chrono::milliseconds{1400})});
         m_fixture.apply(arrival);
-        CPPUNIT_ASSERT(refusal() == AnswerKind::Unavailable);
-        // It comes back when the wait is over, but not later than a third of its time.
+        CPPUNIT_ASSERT(errorKind() == AnswerKind::Unavailable);
+        // The suggested delay follows the wait, but is at most a third of the remaining time.
         CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>()->retryAfter > std::chrono::milliseconds{500});
         CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>()->retryAfter <= std::chrono::milliseconds{1000});
-        m_fixture.apply(HeartbeatHeard{ownerWith(std::chrono::milliseconds{100})});
+        m_fixture.apply(HeartbeatHeard{queueOwnerWithWait(std::chrono::milliseconds{100})});
         arrival.request.call = CallId{2};
         m_fixture.apply(arrival);
         CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>() == nullptr);
     }
 
-    void runWhoseInputsAreGoneHasItsStagesMadeAgain()
+    void missingInputsRestartStages()
     {
         RequestArrived arrival = m_fixture.arrival("/report/1");
         arrival.request.pieces = {1, 1};
         m_fixture.apply(arrival);
-        const RunNumber first = makeStages(2);
+        const RunNumber first = completeStages(2);
         EndpointAnswerHead head = ServingFixture::head(409);
         head.notExecuted = true;
         head.inputsGone = true;
@@ -82,9 +82,9 @@
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
     }
 
-    void plainAnswerIsPassedOnUnchanged()
+    void plainResponseIsForwardedUnchanged()
     {
-        const RunNumber run = send("/order/1");
+        const RunNumber run = startRequest("/order/1");
         m_fixture.apply(RunAnswered{run, ServingFixture::head(201)});
         m_fixture.apply(RunReceived{run, "body"});
         m_fixture.apply(RunEnded{run});
@@ -95,98 +95,98 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_fixture.reducer().inProgress());
     }
 
-    void unknownRouteAndKeyAreRefused()
+    void unknownRouteAndKeyAreRejected()
     {
         m_fixture.apply(m_fixture.arrival("/nowhere/1"));
-        CPPUNIT_ASSERT(refusal() == AnswerKind::NoRoute);
+        CPPUNIT_ASSERT(errorKind() == AnswerKind::NoRoute);
         RequestArrived arrival = m_fixture.arrival("/order/1", 2);
         arrival.request.key = "other";
         m_fixture.apply(arrival);
-        CPPUNIT_ASSERT(refusal() == AnswerKind::UnknownKey);
+        CPPUNIT_ASSERT(errorKind() == AnswerKind::UnknownKey);
     }
 
-    void withoutConfigurationNothingIsDenied()
+    void requestWithoutCatalogIsUnavailable()
     {
         ServingReducer reducer{{}};
-        bool refused = false;
+        bool rejected = false;
         for (const Effect &effect : reducer.apply(m_fixture.arrival("/order/1"), m_fixture.now())) {
             if (const auto *one = std::get_if<RefuseCaller>(&effect)) {
                 CPPUNIT_ASSERT(one->kind == AnswerKind::Unavailable);
-                refused = true;
+                rejected = true;
             }
         }
-        CPPUNIT_ASSERT(refused);
+        CPPUNIT_ASSERT(rejected);
     }
 
-    void nonIdempotentCallIsNotRepeatedAfterABreak()
+    void nonIdempotentCallIsNotRetriedAfterConnectionLoss()
     {
-        m_fixture.apply(RunFailed{send("/order/1"), RunFailure::Broken});
-        CPPUNIT_ASSERT(refusal() == AnswerKind::BadGateway);
+        m_fixture.apply(RunFailed{startRequest("/order/1"), RunFailure::Broken});
+        CPPUNIT_ASSERT(errorKind() == AnswerKind::BadGateway);
         CPPUNIT_ASSERT(m_fixture.effect<StartRun>() == nullptr);
     }
 
-    void nonIdempotentCallIsRepeatedAfterARejection()
+    void nonIdempotentCallIsRetriedAfterRejection()
     {
-        const RunNumber run = send("/order/1");
-        const InstanceName first = m_sentTo;
+        const RunNumber run = startRequest("/order/1");
+        const InstanceName first = m_lastEndpoint;
         EndpointAnswerHead head = ServingFixture::head(503);
         head.notExecuted = true;
         m_fixture.apply(RunAnswered{run, head});
-        const auto *again = m_fixture.effect<StartRun>();
-        CPPUNIT_ASSERT(again != nullptr);
-        CPPUNIT_ASSERT(again->instance != first);
+        const auto *retry = m_fixture.effect<StartRun>();
+        CPPUNIT_ASSERT(retry != nullptr);
+        CPPUNIT_ASSERT(retry->instance != first);
     }
 
-    void idempotentCallIsRepeatedElsewhereAfterAFailure()
+    void idempotentCallIsRetriedAtAnotherEndpoint()
     {
-        const RunNumber run = send("/lookup/1");
-        const InstanceName first = m_sentTo;
+        const RunNumber run = startRequest("/lookup/1");
+        const InstanceName first = m_lastEndpoint;
         m_fixture.apply(RunAnswered{run, ServingFixture::head(500)});
         m_fixture.apply(RunEnded{run});
-        const auto *again = m_fixture.effect<StartRun>();
-        CPPUNIT_ASSERT(again != nullptr);
-        CPPUNIT_ASSERT(again->instance != first);
+        const auto *retry = m_fixture.effect<StartRun>();
+        CPPUNIT_ASSERT(retry != nullptr);
+        CPPUNIT_ASSERT(retry->instance != first);
     }
 
-    void requestWithoutAnswerIsNeverSaidNotToHaveRun()
+    void requestWithoutResponseTimesOutAsPossiblyExecuted()
     {
-        send("/order/1");
+        startRequest("/order/1");
         m_fixture.pass(std::chrono::seconds{3});
-        CPPUNIT_ASSERT(refusal() == AnswerKind::TimedOut);
+        CPPUNIT_ASSERT(errorKind() == AnswerKind::TimedOut);
         CPPUNIT_ASSERT(m_fixture.effect<CancelRun>() != nullptr);
     }
 
-    void requestThatNoEndpointTookIsSaidNotToHaveRun()
+    void requestIsUnavailableIfNoEndpointIsReachable()
     {
-        m_fixture.apply(RunFailed{send("/order/1"), RunFailure::Unreached});
-        const auto *again = m_fixture.effect<StartRun>();
-        CPPUNIT_ASSERT(again != nullptr);
-        m_fixture.apply(RunFailed{again->run, RunFailure::Unreached});
-        CPPUNIT_ASSERT(refusal() == AnswerKind::Unavailable);
+        m_fixture.apply(RunFailed{startRequest("/order/1"), RunFailure::Unreached});
+        const auto *retry = m_fixture.effect<StartRun>();
+        CPPUNIT_ASSERT(retry != nullptr);
+        m_fixture.apply(RunFailed{retry->run, RunFailure::Unreached});
+        CPPUNIT_ASSERT(errorKind() == AnswerKind::Unavailable);
         CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>()->retryAfter > Duration::zero());
     }
 
-    void unsealedSuccessIsNotPassedOn()
+    void unsignedSuccessIsNotForwarded()
     {
-        const RunNumber run = send("/order/1");
+        const RunNumber run = startRequest("/order/1");
         EndpointAnswerHead head = ServingFixture::head();
         head.sealed = false;
         m_fixture.apply(RunAnswered{run, head});
-        CPPUNIT_ASSERT(refusal() == AnswerKind::BadGateway);
+        CPPUNIT_ASSERT(errorKind() == AnswerKind::BadGateway);
     }
 
-    void foreignAnswerIsNotPassedOn()
+    void responseToAnotherRequestIsNotForwarded()
     {
-        const RunNumber run = send("/order/1");
+        const RunNumber run = startRequest("/order/1");
         EndpointAnswerHead head = ServingFixture::head();
         head.foreign = true;
         m_fixture.apply(RunAnswered{run, head});
-        CPPUNIT_ASSERT(refusal() == AnswerKind::BadGateway);
+        CPPUNIT_ASSERT(errorKind() == AnswerKind::BadGateway);
     }
 
-    void brokenStreamIsAborted()
+    void interruptedStreamIsAborted()
     {
-        const RunNumber run = send("/chat/1");
+        const RunNumber run = startRequest("/chat/1");
         m_fixture.apply(RunAnswered{run, ServingFixture::head()});
         CPPUNIT_ASSERT(m_fixture.effect<BeginStream>() != nullptr);
         m_fixture.apply(RunReceived{run, "id: 1\ndata: a\n\nid: 2\nda"});
@@ -196,16 +196,16 @@
         CPPUNIT_ASSERT(m_fixture.effect<StartRun>() == nullptr);
     }
 
-    void resumableStreamGoesOnBehindItsLastWholeEvent()
+    void resumableStreamContinuesAfterItsLastCompleteEvent()
     {
-        const RunNumber run = send("/summary/1");
+        const RunNumber run = startRequest("/summary/1");
         m_fixture.apply(RunAnswered{run, ServingFixture::head()});
         m_fixture.apply(RunReceived{run, "id: 1\ndata: a\n\nid: 2\nda"});
         m_fixture.apply(RunFailed{run, RunFailure::Broken});
-        const auto *again = m_fixture.effect<StartRun>();
-        CPPUNIT_ASSERT(again != nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::string{"1"}, again->lastEvent);
-        const RunNumber second = again->run;
+        const auto *retry = m_fixture.effect<StartRun>();
+        CPPUNIT_ASSERT(retry != nullptr);
+        CPPUNIT_ASSERT_EQUAL(std::string{"1"}, retry->lastEvent);
+        const RunNumber second = retry->run;
         m_fixture.apply(RunAnswered{second, ServingFixture::head()});
         CPPUNIT_ASSERT(m_fixture.effect<BeginStream>() == nullptr);
         m_fixture.apply(RunReceived{second, "id: 2\ndata: b\n\n"});
@@ -214,48 +214,48 @@
         CPPUNIT_ASSERT(m_fixture.effect<FinishStream>() != nullptr);
     }
 
-    void silentEndpointGetsNoFurtherRequests()
+    void unresponsiveEndpointGetsNoFurtherRequests()
     {
-        send("/chat/1");
-        const InstanceName silent = m_sentTo;
+        startRequest("/chat/1");
+        const InstanceName unresponsive = m_lastEndpoint;
         m_fixture.pass(std::chrono::milliseconds{1100});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_fixture.reducer().inProgress());
         for (std::uint64_t call = 2; call < 12; ++call) {
             m_fixture.apply(m_fixture.arrival("/chat/1", call));
-            CPPUNIT_ASSERT(m_fixture.effect<StartRun>()->instance != silent);
+            CPPUNIT_ASSERT(m_fixture.effect<StartRun>()->instance != unresponsive);
         }
     }
 
-    void idempotentCallAtASilentEndpointIsRepeatedElsewhere()
+    void idempotentCallAtUnresponsiveEndpointIsRetried()
     {
-        send("/lookup/1");
-        const InstanceName silent = m_sentTo;
+        startRequest("/lookup/1");
+        const InstanceName unresponsive = m_lastEndpoint;
         m_fixture.pass(std::chrono::milliseconds{1100});
-        const auto *again = m_fixture.effect<StartRun>();
-        CPPUNIT_ASSERT(again != nullptr);
-        CPPUNIT_ASSERT(again->instance != silent);
+        const auto *retry = m_fixture.effect<StartRun>();
+        CPPUNIT_ASSERT(retry != nullptr);
+        CPPUNIT_ASSERT(retry->instance != unresponsive);
         CPPUNIT_ASSERT(m_fixture.effect<CancelRun>() != nullptr);
     }
 
-    void callerThatLeavesCancelsItsRun()
+    void callerDisconnectCancelsItsRun()
     {
-        send("/chat/1");
+        startRequest("/chat/1");
         m_fixture.apply(CallerLeft{CallId{1}});
         CPPUNIT_ASSERT(m_fixture.effect<CancelRun>() != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_fixture.reducer().inProgress());
     }
 
-    void drainTakesRequestsOnlyAtItsBeginning()
+    void drainAcceptsRequestsOnlyAtItsStart()
     {
         m_fixture.apply(DrainRequested{});
         m_fixture.apply(m_fixture.arrival("/order/1"));
         CPPUNIT_ASSERT(m_fixture.effect<StartRun>() != nullptr);
         m_fixture.pass(std::chrono::milliseconds{2600});
         m_fixture.apply(m_fixture.arrival("/order/1", 2));
-        CPPUNIT_ASSERT(refusal() == AnswerKind::Unavailable);
+        CPPUNIT_ASSERT(errorKind() == AnswerKind::Unavailable);
     }
 
-    void stagesAreMadeBeforeTheRunAndFreedAtItsFirstEvent()
+    void stageResultsAreFreedAtTheFirstEvent()
     {
         RequestArrived arrival = m_fixture.arrival("/draft/1");
         arrival.request.pieces = {2};
@@ -272,23 +272,24 @@
         const RunNumber number = run->run;
         m_fixture.apply(RunAnswered{number, ServingFixture::head()});
         m_fixture.apply(RunReceived{number, "id: 1\ndata: a\n\n"});
-        const auto *freed = m_fixture.effect<FreeResults>();
-        CPPUNIT_ASSERT(freed != nullptr);
-        CPPUNIT_ASSERT((freed->handles == std::vector<std::string>{"h-1", "h-2"}));
+        const auto *freedResults = m_fixture.effect<FreeResults>();
+        CPPUNIT_ASSERT(freedResults != nullptr);
+        CPPUNIT_ASSERT((freedResults->handles == std::vector<std::string>{"h-1", "h-2"}));
     }
 
 private:
-    RunNumber send(const std::string &path)
+    /*! @brief Submits a request without stages; returns its run. */
+    RunNumber startRequest(const std::string &path)
     {
         m_fixture.apply(m_fixture.arrival(path));
         const auto *start = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(start != nullptr);
-        m_sentTo = start->instance;
+        m_lastEndpoint = start->instance;
         return start->run;
     }
 
-    /*! @brief Answers the stage calls of the only request, one stage after the other; returns the run that follows. */
-    RunNumber makeStages(int stages)
+    /*! @brief Completes the stage calls of the only request, stage by stage; returns the run that follows. */
+    RunNumber completeStages(int stages)
     {
         for (int stage = 0; stage < stages; ++stage) {
             const auto *call = m_fixture.effect<StartStageCall>();
@@ -304,8 +305,8 @@
         return start->run;
     }
 
-    /*! @brief A peer that keeps the queue of the encoders, where new work waits for some time. */
-    [[nodiscard]] Heartbeat ownerWith(Duration wait) const
+    /*! @brief Returns the heartbeat of a peer that owns the queue of the encoders and reports a wait. */
+    [[nodiscard]] Heartbeat queueOwnerWithWait(Duration wait) const
     {
         Heartbeat out;
         out.ownsQueues = true;
@@ -321,14 +322,14 @@
         }
     }
 
-    [[nodiscard]] std::optional<AnswerKind> refusal() const
+    [[nodiscard]] std::optional<AnswerKind> errorKind() const
     {
-        const auto *refused = m_fixture.effect<RefuseCaller>();
-        return refused == nullptr ? std::nullopt : std::optional{refused->kind};
+        const auto *rejected = m_fixture.effect<RefuseCaller>();
+        return rejected == nullptr ? std::nullopt : std::optional{rejected->kind};
     }
 
     ServingFixture m_fixture;
-    InstanceName m_sentTo;
+    InstanceName m_lastEndpoint;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ServingReducerTest);
