--- a/src/bergamottide/platform/backoff.cpp
+++ b/src/bergamottide/platform/backoff.cpp
@@ -4,25 +4,25 @@
 
 namespace bergamottide {
 
-Backoff::Backoff(Duration first, Duration longest, std::uint64_t seed)
-    : m_first{first}
-    , m_longest{longest}
-    , m_bound{first}
+Backoff::Backoff(Duration initial, Duration maximum, std::uint64_t seed)
+    : m_initial{initial}
+    , m_maximum{maximum}
+    , m_upperBound{initial}
     , m_random{seed}
 {
 }
 
 Duration Backoff::next()
 {
-    std::uniform_int_distribution<Duration::rep> jitter{m_bound.count() / 2, m_bound.count()};
-    const Duration wait{jitter(m_random)};
-    m_bound = std::min(m_bound * 2, m_longest);
+    std::uniform_int_distribution<Duration::rep> distribution{m_upperBound.count() / 2, m_upperBound.count()};
+    const Duration wait{distribution(m_random)};
+    m_upperBound = std::min(m_upperBound * 2, m_maximum);
     return wait;
 }
 
 void Backoff::reset()
 {
-    m_bound = m_first;
+    m_upperBound = m_initial;
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/platform/backoff.h
+++ b/src/bergamottide/platform/backoff.h
@@ -8,32 +8,32 @@
 namespace bergamottide {
 
 /**
- * @brief Truncated exponential backoff with full jitter.
+ * @brief Truncated exponential backoff with jitter.
  *
- * Made for thousands of readers that lose the same service at once: without jitter they
- * would come back in step and keep it down.
+ * The jitter keeps clients that lost the same service at once from retrying in lockstep.
  */
 class Backoff
 {
 public:
     /**
      * @brief Creates a backoff.
-     * @param first Longest first wait, above zero.
-     * @param longest Longest wait.
+     * @param initial Upper bound of the first wait; above zero.
+     * @param maximum Upper bound of every wait.
      * @param seed Seed of the jitter.
      */
-    Backoff(Duration first, Duration longest, std::uint64_t seed);
+    Backoff(Duration initial, Duration maximum, std::uint64_t seed);
 
-    /*! @brief Returns the next wait: random, at least half of a bound that doubles with each call. */
+    /*! @brief Returns the next wait: random between half of an upper bound and the bound, which doubles with each call.
+     */
     [[nodiscard]] Duration next();
 
-    /*! @brief Starts anew after a success. */
+    /*! @brief Starts over from the initial bound, after a success. */
     void reset();
 
 private:
-    Duration m_first;
-    Duration m_longest;
-    Duration m_bound;
+    Duration m_initial;
+    Duration m_maximum;
+    Duration m_upperBound;
     std::mt19937_64 m_random;
 };
 
--- a/src/bergamottide/platform/configclient.cpp
+++ b/src/bergamottide/platform/configclient.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-constexpr std::string_view path = "/v1/config";
+constexpr std::string_view configPath = "/v1/config";
 constexpr int statusOk = 200;
 constexpr int statusNotModified = 304;
-/*! @brief Largest document in bytes: the service holds values up to a megabyte. */
-constexpr std::size_t maxBytes = (1u << 20) + (64u << 10);
-/*! @brief Silence after which a read is given up; the service answers in milliseconds. */
-constexpr Duration timeout = std::chrono::seconds{4};
+/*! @brief Largest document in bytes; the service stores values of up to one mebibyte. */
+constexpr std::size_t maxDocumentBytes = (1u << 20) + (64u << 10);
+/*! @brief Inactivity after which a read fails. */
+constexpr Duration readTimeout = std::chrono::seconds{4};
 
 HttpClientOptions clientOptions()
 {
     HttpClientOptions options;
-    options.ioTimeout = timeout;
-    options.maxBodyBytes = maxBytes;
+    options.ioTimeout = readTimeout;
+    options.maxBodyBytes = maxDocumentBytes;
     options.idleConnections = 1;
     return options;
 }
@@ -48,15 +48,15 @@
     ++m_counts.reads;
     HttpRequest request;
     request.method = "GET";
-    request.path = path;
+    request.path = configPath;
     request.query = absl::StrCat("after=", after, "&wait_ms=0");
     HttpCallHooks hooks;
     hooks.done = [this](HttpAnswer answer) {
-        answered(std::move(answer));
+        handleResponse(std::move(answer));
     };
     hooks.failed = [this](HttpFailure failure) {
         const Reason reason = failure == HttpFailure::TooLarge ? Reason::AnswerTooLarge : Reason::ConnectionLost;
-        failed(makeError(reason, path, enumName(failure)));
+        handleFailure(makeError(reason, configPath, enumName(failure)));
     };
     m_call = m_client.call(m_address, std::move(request), std::move(hooks));
 }
@@ -66,7 +66,7 @@
     return m_counts;
 }
 
-void ConfigClient::answered(HttpAnswer answer)
+void ConfigClient::handleResponse(HttpAnswer answer)
 {
     m_call = {};
     if (answer.status == statusNotModified) {
@@ -74,20 +74,21 @@
         return;
     }
     if (answer.status != statusOk) {
-        failed(makeError(Reason::EndpointFailed, path, absl::StrCat("The service answered ", answer.status, ".")));
+        handleFailure(makeError(Reason::EndpointFailed, configPath,
+                                absl::StrCat("The configuration service responded with status ", answer.status, ".")));
         return;
     }
     m_counts.bytes += answer.body.size();
-    const absl::Status intact = checkDigest(answer);
-    if (!intact.ok()) {
-        failed(intact);
+    const absl::Status digestStatus = checkDigest(answer);
+    if (!digestStatus.ok()) {
+        handleFailure(digestStatus);
         return;
     }
     ++m_counts.documents;
     m_hooks.document(std::move(answer.body));
 }
 
-void ConfigClient::failed(const absl::Status &error)
+void ConfigClient::handleFailure(const absl::Status &error)
 {
     m_call = {};
     ++m_counts.errors;
--- a/src/bergamottide/platform/configclient.h
+++ b/src/bergamottide/platform/configclient.h
@@ -11,18 +11,18 @@
 
 namespace bergamottide {
 
-/*! @brief Hooks of the configuration client; exactly one of them is called for each read. */
+/*! @brief Callbacks of the configuration client; exactly one of them is called for each read. */
 struct ConfigClientHooks
 {
-    /*! @brief The service has a newer document; its text is not judged yet. */
+    /*! @brief The service has a newer document; its text is not validated yet. */
     std::function<void(std::string text)> document;
-    /*! @brief The service has nothing newer. */
+    /*! @brief The service has no newer document. */
     std::function<void()> unchanged;
-    /*! @brief The read has failed, or its value does not match its digest. */
+    /*! @brief The read failed, or the document does not match its digest. */
     std::function<void(const absl::Status &error)> failed;
 };
 
-/*! @brief Counts of a client since its start, against the budget of the service. */
+/*! @brief Counters of a client since its start. */
 struct ConfigClientCounts
 {
     std::uint64_t reads{};
@@ -32,20 +32,19 @@
 };
 
 /**
- * @brief Reads the configuration service: `GET /v1/config?after=VERSION&wait_ms=0`.
+ * @brief Client of the configuration service: `GET /v1/config?after=VERSION&wait_ms=0`.
  *
- * The service answers 200 with the YAML text and its digest in `X-Digest`, or 304. This class
- * alone knows that format. When to read is decided by `ConfigDistribution`, and whether a
- * document is put in force as well.
+ * The service responds with 200, the YAML text and its digest in `X-Digest`, or with 304.
+ * `ConfigDistribution` decides when to read and whether a document is applied.
  */
 class ConfigClient
 {
 public:
     /**
      * @brief Creates a client.
-     * @param loop Loop it runs on; outlives the client.
-     * @param address IP number and port of the service, `ip:port`.
-     * @param hooks Called for each read.
+     * @param loop Event loop; must outlive the client.
+     * @param address IP address and port of the service, `ip:port`.
+     * @param hooks Callbacks.
      */
     ConfigClient(Loop &loop, std::string address, ConfigClientHooks hooks);
     ConfigClient(const ConfigClient &) = delete;
@@ -53,17 +52,17 @@
     ~ConfigClient();
 
     /**
-     * @brief Reads once; a read in progress is given up without a call of its hooks.
-     * @param after Version in force; only a newer document is wanted.
+     * @brief Starts one read; cancels a read in progress without calling the hooks for it.
+     * @param after Current version; only a newer document is returned.
      */
     void read(std::uint64_t after);
 
-    /*! @brief Returns the counts since the start. */
+    /*! @brief Returns the counters since the start. */
     [[nodiscard]] const ConfigClientCounts &counts() const noexcept;
 
 private:
-    void answered(HttpAnswer answer);
-    void failed(const absl::Status &error);
+    void handleResponse(HttpAnswer answer);
+    void handleFailure(const absl::Status &error);
 
     std::string m_address;
     ConfigClientHooks m_hooks;
--- a/src/bergamottide/platform/instanceclient.cpp
+++ b/src/bergamottide/platform/instanceclient.cpp
@@ -14,7 +14,7 @@
 
 using Json = nlohmann::json;
 
-/*! @brief Instances read from one list: twice the 4,350 processes designed for. */
+/*! @brief Largest number of instances accepted in one list. */
 constexpr std::size_t maxInstances = 10000;
 
 LongPollOptions pollOptions(const std::string &address, std::uint64_t seed)
@@ -26,40 +26,40 @@
     return options;
 }
 
-std::string textOf(const Json &object, const char *name)
+std::string stringField(const Json &object, const char *name)
 {
     const auto found = object.find(name);
     return found != object.end() && found->is_string() ? found->get<std::string>() : std::string{};
 }
 
-absl::Status malformed(std::size_t index, const char *field)
+absl::Status malformedField(std::size_t index, const char *field)
 {
     return makeError(Reason::MalformedBody, absl::StrCat("instances[", index, "].", field),
-                     "The instance list has a wrong field");
+                     "The instance list has a missing, malformed or duplicate field");
 }
 
-absl::StatusOr<Instance> readInstance(const Json &object, std::size_t index)
+absl::StatusOr<Instance> parseInstance(const Json &object, std::size_t index)
 {
     if (!object.is_object()) {
-        return malformed(index, "");
+        return malformedField(index, "");
     }
     Instance instance;
-    instance.name = InstanceName{textOf(object, "name")};
+    instance.name = InstanceName{stringField(object, "name")};
     if (instance.name.empty()) {
-        return malformed(index, "name");
+        return malformedField(index, "name");
     }
-    const auto role = enumFromName<Role>(textOf(object, "role"));
+    const auto role = enumFromName<Role>(stringField(object, "role"));
     if (!role) {
-        return malformed(index, "role");
+        return malformedField(index, "role");
     }
     instance.role = *role;
-    instance.region = RegionName{textOf(object, "region")};
-    instance.zone = ZoneName{textOf(object, "zone")};
-    instance.address = textOf(object, "address");
+    instance.region = RegionName{stringField(object, "region")};
+    instance.zone = ZoneName{stringField(object, "zone")};
+    instance.address = stringField(object, "address");
     if (instance.address.empty()) {
-        return malformed(index, "address");
+        return malformedField(index, "address");
     }
-    instance.pool = PoolName{textOf(object, "pool")};
+    instance.pool = PoolName{stringField(object, "pool")};
     const auto leaving = object.find("leaving");
     instance.leaving = leaving != object.end() && leaving->is_boolean() && leaving->get<bool>();
     return instance;
@@ -67,7 +67,7 @@
 
 } // namespace
 
-absl::StatusOr<InstanceView> readInstanceList(std::string_view text)
+absl::StatusOr<InstanceView> parseInstanceList(std::string_view text)
 {
     const Json root = Json::parse(text, nullptr, false);
     if (!root.is_object()) {
@@ -75,22 +75,24 @@
     }
     const auto revision = root.find("revision");
     if (revision == root.end() || !revision->is_number_unsigned()) {
-        return makeError(Reason::MalformedBody, "revision", "The instance list has no revision");
+        return makeError(Reason::MalformedBody, "revision",
+                         "The instance list has no unsigned integer as its revision");
     }
     const auto list = root.find("instances");
     if (list == root.end() || !list->is_array() || list->size() > maxInstances) {
-        return makeError(Reason::MalformedBody, "instances", "The instance list has no usable list");
+        return makeError(Reason::MalformedBody, "instances",
+                         "The instance list has no array of instances, or too many of them");
     }
     InstanceView view;
     view.revision = revision->get<std::uint64_t>();
     for (std::size_t index = 0; index < list->size(); ++index) {
-        auto instance = readInstance((*list)[index], index);
+        auto instance = parseInstance((*list)[index], index);
         if (!instance.ok()) {
             return instance.status();
         }
         InstanceName name = instance->name;
         if (!view.instances.emplace(std::move(name), *std::move(instance)).second) {
-            return malformed(index, "name");
+            return malformedField(index, "name");
         }
     }
     return view;
@@ -98,9 +100,9 @@
 
 InstanceClient::InstanceClient(Loop &loop, const std::string &address, std::uint64_t seed, InstanceClientHooks hooks)
     : m_hooks{std::move(hooks)}
-    , m_poll{
-          loop, pollOptions(address, seed),
-          LongPoll::Hooks{[this](const HttpAnswer &answer) { return take(answer); }, m_hooks.failed, m_hooks.unchanged}}
+    , m_poll{loop, pollOptions(address, seed),
+             LongPoll::Hooks{[this](const HttpAnswer &answer) { return handleList(answer); }, m_hooks.failed,
+                             m_hooks.unchanged}}
 {
 }
 
@@ -114,13 +116,13 @@
     return m_poll.counts();
 }
 
-absl::StatusOr<std::uint64_t> InstanceClient::take(const HttpAnswer &answer)
+absl::StatusOr<std::uint64_t> InstanceClient::handleList(const HttpAnswer &answer)
 {
-    absl::Status intact = checkDigest(answer);
-    if (!intact.ok()) {
-        return intact;
+    absl::Status digestStatus = checkDigest(answer);
+    if (!digestStatus.ok()) {
+        return digestStatus;
     }
-    auto view = readInstanceList(answer.body);
+    auto view = parseInstanceList(answer.body);
     if (!view.ok()) {
         return view.status();
     }
--- a/src/bergamottide/platform/instanceclient.h
+++ b/src/bergamottide/platform/instanceclient.h
@@ -14,24 +14,24 @@
 namespace bergamottide {
 
 /**
- * @brief Reads an instance list as the platform writes it.
+ * @brief Parses the platform's instance list.
  *
  * `{"revision": N, "instances": [{"name", "role", "region", "zone", "address", "pool", "leaving"}]}`.
- * Fields that are not known are skipped, as the list belongs to the platform and may grow.
+ * Unknown fields are ignored, so that the platform can add some.
  *
  * @param text JSON text.
- * @return The view, or `Reason::MalformedBody` with the field at fault.
+ * @return The instances, or `Reason::MalformedBody` with the invalid field.
  */
-[[nodiscard]] absl::StatusOr<InstanceView> readInstanceList(std::string_view text);
+[[nodiscard]] absl::StatusOr<InstanceView> parseInstanceList(std::string_view text);
 
-/*! @brief Hooks of the instance list's client. */
+/*! @brief Callbacks of the instance list's client. */
 struct InstanceClientHooks
 {
-    /*! @brief A newer list has come. */
+    /*! @brief A newer list was received. */
     std::function<void(std::shared_ptr<const InstanceView> view)> view;
-    /*! @brief Optional: a read has failed or its list was not accepted. */
+    /*! @brief Optional: a read failed, or its list was rejected. */
     std::function<void(const absl::Status &error)> failed;
-    /*! @brief Optional: the platform has confirmed that there is nothing newer. */
+    /*! @brief Optional: the platform confirmed that there is no newer list. */
     std::function<void()> unchanged;
 };
 
@@ -40,22 +40,22 @@
 {
 public:
     /**
-     * @brief Creates a client that does not read yet.
-     * @param loop Loop it runs on; outlives the client.
-     * @param address IP number and port of the list, `ip:port`.
-     * @param seed Seed of the jitter.
-     * @param hooks Called for each read.
+     * @brief Creates a client; `start` begins reading.
+     * @param loop Event loop; must outlive the client.
+     * @param address IP address and port of the service, `ip:port`.
+     * @param seed Seed of the backoff's jitter.
+     * @param hooks Callbacks.
      */
     InstanceClient(Loop &loop, const std::string &address, std::uint64_t seed, InstanceClientHooks hooks);
 
-    /*! @brief Starts to read. */
+    /*! @brief Starts to watch. */
     void start();
 
-    /*! @brief Returns the counts since the start. */
+    /*! @brief Returns the counters since the start. */
     [[nodiscard]] const LongPollCounts &counts() const noexcept;
 
 private:
-    absl::StatusOr<std::uint64_t> take(const HttpAnswer &answer);
+    absl::StatusOr<std::uint64_t> handleList(const HttpAnswer &answer);
 
     InstanceClientHooks m_hooks;
     std::uint64_t m_revision{};
--- a/src/bergamottide/platform/longpoll.cpp
+++ b/src/bergamottide/platform/longpoll.cpp
@@ -17,7 +17,7 @@
 HttpClientOptions clientOptions(const LongPollOptions &options)
 {
     HttpClientOptions client;
-    client.ioTimeout = options.wait + options.grace;
+    client.ioTimeout = options.wait + options.timeoutMargin;
     client.maxBodyBytes = options.maxBytes;
     client.idleConnections = 1;
     return client;
@@ -35,7 +35,7 @@
     , m_options{std::move(options)}
     , m_hooks{std::move(hooks)}
     , m_client{loop, clientOptions(m_options)}
-    , m_backoff{m_options.firstBackoff, m_options.longestBackoff, m_options.seed}
+    , m_backoff{m_options.initialBackoff, m_options.maxBackoff, m_options.seed}
 {
 }
 
@@ -46,16 +46,16 @@
 
 void LongPoll::start()
 {
-    if (m_running) {
+    if (m_isRunning) {
         return;
     }
-    m_running = true;
+    m_isRunning = true;
     read();
 }
 
 void LongPoll::stop()
 {
-    m_running = false;
+    m_isRunning = false;
     m_client.cancel(m_call);
     m_loop.cancel(m_timer);
     m_call = {};
@@ -82,58 +82,59 @@
     request.query = absl::StrCat("after=", m_version, "&wait_ms=", wait.count());
     HttpCallHooks hooks;
     hooks.done = [this](HttpAnswer answer) {
-        answered(std::move(answer));
+        handleResponse(std::move(answer));
     };
     hooks.failed = [this](HttpFailure failure) {
-        failed(makeError(reasonOf(failure), m_options.path, std::string{enumName(failure)}));
+        handleFailure(makeError(reasonOf(failure), m_options.path, std::string{enumName(failure)}));
     };
     m_call = m_client.call(m_options.address, std::move(request), std::move(hooks));
 }
 
-void LongPoll::readAfter(Duration wait)
+void LongPoll::scheduleRead(Duration delay)
 {
     m_call = {};
-    if (!m_running) {
+    if (!m_isRunning) {
         return;
     }
-    m_timer = m_loop.at(m_loop.now() + wait, [this] {
+    m_timer = m_loop.at(m_loop.now() + delay, [this] {
         m_timer = {};
         read();
     });
 }
 
-void LongPoll::answered(HttpAnswer answer)
+void LongPoll::handleResponse(HttpAnswer answer)
 {
     if (answer.status == statusNotModified) {
         m_backoff.reset();
         if (m_hooks.unchanged) {
             m_hooks.unchanged();
         }
-        readAfter(m_options.spacing);
+        scheduleRead(m_options.readDelay);
         return;
     }
-    const absl::Status status = take(std::move(answer));
+    const absl::Status status = acceptValue(std::move(answer));
     if (!status.ok()) {
-        failed(status);
+        handleFailure(status);
         return;
     }
     m_backoff.reset();
-    readAfter(m_options.spacing);
+    scheduleRead(m_options.readDelay);
 }
 
-void LongPoll::failed(const absl::Status &error)
+void LongPoll::handleFailure(const absl::Status &error)
 {
     ++m_counts.errors;
     if (m_hooks.failed) {
         m_hooks.failed(error);
     }
-    readAfter(m_backoff.next());
+    scheduleRead(m_backoff.next());
 }
 
-absl::Status LongPoll::take(HttpAnswer answer)
+absl::Status LongPoll::acceptValue(HttpAnswer answer)
 {
     if (answer.status != statusOk) {
-        return makeError(Reason::EndpointFailed, m_options.path, absl::StrCat("The service answered ", answer.status));
+        return makeError(Reason::EndpointFailed, m_options.path,
+                         absl::StrCat("The service responded with status ", answer.status));
     }
     m_counts.bytes += answer.body.size();
     const auto version = m_hooks.value(std::move(answer));
@@ -141,7 +142,8 @@
         return version.status();
     }
     if (*version <= m_version) {
-        return makeError(Reason::StaleView, m_options.path, "The service sent a value that is not newer");
+        return makeError(Reason::StaleView, m_options.path,
+                         "The service sent a value that is not newer than the current one");
     }
     ++m_counts.values;
     m_version = *version;
--- a/src/bergamottide/platform/longpoll.h
+++ b/src/bergamottide/platform/longpoll.h
@@ -15,37 +15,34 @@
 
 namespace bergamottide {
 
-/*! @brief Settings of a watch. */
+/*! @brief Options of a long poll. */
 struct LongPollOptions
 {
-    /*! @brief IP number and port of the service, `ip:port`. */
+    /*! @brief IP address and port of the service, `ip:port`. */
     std::string address;
     std::string path;
     /*!
-     * @brief Time the service may hold a read that has nothing new.
+     * @brief Time for which the service may hold a read while there is no newer value.
      *
-     * Each read counts against the service's budget, a waiting one too: at 25 s, 4,350
-     * watchers would cost 174 reads per second.
+     * Bounds the rate of reads of an unchanged value, which count against the service's budget.
      */
     Duration wait{std::chrono::seconds{25}};
-    /*! @brief Time beyond `wait` after which a silent service is given up. */
-    Duration grace{std::chrono::seconds{5}};
+    /*! @brief Time beyond `wait` after which a read without a response fails. */
+    Duration timeoutMargin{std::chrono::seconds{5}};
     /*!
-     * @brief Least time between two reads.
+     * @brief Delay between a response and the next read.
      *
-     * In a burst of changes one read fetches several; 16,000 changes a day come at 20 per
-     * second for a minute, and one reader shall not cost the service more than four of its reads
-     * per second then.
+     * Bounds the rate of reads during a burst of changes, several of which one read then fetches.
      */
-    Duration spacing{std::chrono::milliseconds{250}};
-    Duration firstBackoff{std::chrono::milliseconds{200}};
-    Duration longestBackoff{std::chrono::seconds{10}};
-    /*! @brief Largest value in bytes; the service holds values up to a megabyte. */
+    Duration readDelay{std::chrono::milliseconds{250}};
+    Duration initialBackoff{std::chrono::milliseconds{200}};
+    Duration maxBackoff{std::chrono::seconds{10}};
+    /*! @brief Largest value in bytes; the service stores values of up to one mebibyte. */
     std::size_t maxBytes{(1u << 20) + (64u << 10)};
     std::uint64_t seed{};
 };
 
-/*! @brief Counts of a watch since its start. */
+/*! @brief Counters of a long poll since its start. */
 struct LongPollCounts
 {
     std::uint64_t reads{};
@@ -55,57 +52,56 @@
 };
 
 /**
- * @brief Watches one value of a service that holds a read until the value is newer than a version.
+ * @brief Long-polls one versioned value: the service holds each read until it has a newer version.
  *
- * A service that is down, slow, stale or sends broken values costs a read at most every
- * backoff; what was accepted before stays with the owner of the hooks.
+ * Reads that fail, time out, or return a malformed or older value are retried with exponential backoff.
  */
 class LongPoll
 {
 public:
-    /*! @brief Hooks, called on the loop's thread. */
+    /*! @brief Callbacks, called on the event loop's thread. */
     struct Hooks
     {
-        /*! @brief Takes a value; returns its version, or why it is not accepted. */
+        /*! @brief Takes a value; returns its version, or the reason why it is rejected. */
         std::function<absl::StatusOr<std::uint64_t>(HttpAnswer answer)> value;
-        /*! @brief Optional: a read has failed or its value was not accepted. */
+        /*! @brief Optional: a read failed, or its value was rejected. */
         std::function<void(const absl::Status &error)> failed;
-        /*! @brief Optional: the service has confirmed that there is nothing newer. */
+        /*! @brief Optional: the service confirmed that there is no newer value. */
         std::function<void()> unchanged;
     };
 
     /**
-     * @brief Creates a watch that does not read yet.
-     * @param loop Loop it runs on; outlives the watch.
-     * @param options Settings.
-     * @param hooks Called for each read.
+     * @brief Creates a long poll; `start` begins reading.
+     * @param loop Event loop; must outlive the long poll.
+     * @param options Options.
+     * @param hooks Callbacks.
      */
     LongPoll(Loop &loop, LongPollOptions options, Hooks hooks);
     LongPoll(const LongPoll &) = delete;
     LongPoll &operator=(const LongPoll &) = delete;
     ~LongPoll();
 
-    /*! @brief Starts to read; does nothing if it reads already. */
+    /*! @brief Starts reading; does nothing if already started. */
     void start();
 
     /*! @brief Stops reading. */
     void stop();
 
     /**
-     * @brief Tells the version that has come another way, so that only newer ones are read.
-     * @param version Version in force; an older one than known is ignored.
+     * @brief Sets the version received from another source, so that only newer ones are read.
+     * @param version Current version; ignored if older than the known one.
      */
     void advance(std::uint64_t version);
 
-    /*! @brief Returns the counts since the start. */
+    /*! @brief Returns the counters since the start. */
     [[nodiscard]] const LongPollCounts &counts() const noexcept;
 
 private:
     void read();
-    void readAfter(Duration wait);
-    void answered(HttpAnswer answer);
-    void failed(const absl::Status &error);
-    [[nodiscard]] absl::Status take(HttpAnswer answer);
+    void scheduleRead(Duration delay);
+    void handleResponse(HttpAnswer answer);
+    void handleFailure(const absl::Status &error);
+    [[nodiscard]] absl::Status acceptValue(HttpAnswer answer);
 
     Loop &m_loop;
     LongPollOptions m_options;
@@ -115,7 +111,7 @@
     HttpCallId m_call{};
     TimerId m_timer{};
     std::uint64_t m_version{};
-    bool m_running{};
+    bool m_isRunning{};
     LongPollCounts m_counts;
 };
 
--- a/src/bergamottide/platform/valuedigest.h
+++ b/src/bergamottide/platform/valuedigest.h
@@ -9,24 +9,23 @@
 
 namespace bergamottide {
 
-/*! @brief Header in which the platform sends the digest of a value. */
+/*! @brief Response header that carries the digest of a value. */
 inline constexpr std::string_view digestHeader = "x-digest";
 
 /**
- * @brief Returns the digest of a value as the platform writes it.
+ * @brief Returns the digest of a value in the platform's format.
  * @param value Bytes of the value.
- * @return XXH3, 64 bits, as 16 lower case hexadecimal digits.
+ * @return 64-bit XXH3 as 16 lowercase hexadecimal digits.
  */
 [[nodiscard]] std::string valueDigest(std::string_view value);
 
 /**
- * @brief Checks a value against the digest sent with it.
+ * @brief Verifies the body of a response against the digest in its header.
  *
- * A value cut short on its way can still be a valid document that lacks its last sections;
- * only the digest tells.
+ * Detects truncation: a truncated YAML document can still be a valid one.
  *
- * @param answer Answer with the value.
- * @return Ok if it matches or none was sent, `Reason::MalformedBody` otherwise.
+ * @param answer Response with the value.
+ * @return Ok if the digest matches or is absent, `Reason::MalformedBody` otherwise.
  */
 [[nodiscard]] absl::Status checkDigest(const HttpAnswer &answer);
 
--- a/test/bergamottide/platform/platformclients.cpp
+++ b/test/bergamottide/platform/platformclients.cpp
@@ -15,94 +15,94 @@
 using namespace bergamottide;
 using namespace bergamottide::standin;
 
-/*! @brief Clients of the platform against a service that misbehaves. */
+/*! @brief Configuration and instance list clients against a service with injected faults. */
 class PlatformClientsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PlatformClientsTest);
-    CPPUNIT_TEST(newValueArrivesWithoutAnotherRead);
-    CPPUNIT_TEST(serviceThatIsDownIsReadAgainWithGrowingWaits);
-    CPPUNIT_TEST(documentIsReadOnceForEachRead);
-    CPPUNIT_TEST(truncatedValueIsRefused);
-    CPPUNIT_TEST(staleValueIsRefusedAndBacksOff);
-    CPPUNIT_TEST(valueAboveTheLimitIsRefused);
-    CPPUNIT_TEST(instanceListIsReadWithItsFaultsLocated);
-    CPPUNIT_TEST(backoffGrowsToItsBoundWithJitter);
+    CPPUNIT_TEST(longPollReturnsNewValue);
+    CPPUNIT_TEST(unavailableServiceIsRetriedWithBackoff);
+    CPPUNIT_TEST(eachReadCallsOneHook);
+    CPPUNIT_TEST(truncatedValueIsRejected);
+    CPPUNIT_TEST(staleValueIsRejectedAndRetriedWithBackoff);
+    CPPUNIT_TEST(oversizedValueIsRejected);
+    CPPUNIT_TEST(instanceListIsParsedAndErrorsNameTheField);
+    CPPUNIT_TEST(backoffDoublesUpToMaximumWithJitter);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void newValueArrivesWithoutAnotherRead()
+    void longPollReturnsNewValue()
     {
-        startWatch();
-        publishList();
-        await([this] { return m_revisions.size() == 1; });
-        publishList();
-        await([this] { return m_revisions.size() == 2; });
+        startInstanceClient();
+        publishInstanceList();
+        runUntil([this] { return m_revisions.size() == 1; });
+        publishInstanceList();
+        runUntil([this] { return m_revisions.size() == 2; });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, m_revisions.back());
-        CPPUNIT_ASSERT(m_instances->counts().reads <= 3);
+        CPPUNIT_ASSERT(m_instanceClient->counts().reads <= 3);
     }
 
-    void serviceThatIsDownIsReadAgainWithGrowingWaits()
+    void unavailableServiceIsRetriedWithBackoff()
     {
-        setFault(m_list, "down");
-        startWatch();
-        await([this] { return m_errors.size() == 3; });
-        setFault(m_list, "none");
-        publishList();
-        await([this] { return m_revisions.size() == 1; });
-        CPPUNIT_ASSERT(m_instances->counts().reads <= 6);
+        setFault(m_instanceServer, "down");
+        startInstanceClient();
+        runUntil([this] { return m_errors.size() == 3; });
+        setFault(m_instanceServer, "none");
+        publishInstanceList();
+        runUntil([this] { return m_revisions.size() == 1; });
+        CPPUNIT_ASSERT(m_instanceClient->counts().reads <= 6);
     }
 
-    void staleValueIsRefusedAndBacksOff()
+    void staleValueIsRejectedAndRetriedWithBackoff()
     {
-        publishList();
-        publishList();
-        startWatch();
-        await([this] { return m_revisions.size() == 1; });
-        setFault(m_list, "stale");
-        publishList();
-        await([this] { return m_errors.size() == 2; });
+        publishInstanceList();
+        publishInstanceList();
+        startInstanceClient();
+        runUntil([this] { return m_revisions.size() == 1; });
+        setFault(m_instanceServer, "stale");
+        publishInstanceList();
+        runUntil([this] { return m_errors.size() == 2; });
         CPPUNIT_ASSERT(errorReason(m_errors.front()) == Reason::StaleView);
-        setFault(m_list, "none");
-        publishList();
-        await([this] { return m_revisions.back() == 4; });
+        setFault(m_instanceServer, "none");
+        publishInstanceList();
+        runUntil([this] { return m_revisions.back() == 4; });
     }
 
-    void documentIsReadOnceForEachRead()
+    void eachReadCallsOneHook()
     {
-        publish(m_config, "version: 4\n");
-        ConfigClient client{m_loop, m_config.address(), configHooks()};
+        publish(m_configServer, "version: 4\n");
+        ConfigClient client{m_loop, m_configServer.address(), configHooks()};
         client.read(3);
-        await([this] { return m_documents.size() == 1; });
+        runUntil([this] { return m_documents.size() == 1; });
         CPPUNIT_ASSERT_EQUAL(std::string{"version: 4\n"}, m_documents.front());
         client.read(4);
-        await([this] { return m_unchanged == 1; });
+        runUntil([this] { return m_unchanged == 1; });
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, client.counts().reads);
         CPPUNIT_ASSERT(m_errors.empty());
     }
 
-    void truncatedValueIsRefused()
+    void truncatedValueIsRejected()
     {
-        setFault(m_config, "truncate");
-        publish(m_config, "version: 1\nworkspaces: {}\n");
-        ConfigClient client{m_loop, m_config.address(), configHooks()};
+        setFault(m_configServer, "truncate");
+        publish(m_configServer, "version: 1\nworkspaces: {}\n");
+        ConfigClient client{m_loop, m_configServer.address(), configHooks()};
         client.read(0);
-        await([this] { return !m_errors.empty(); });
+        runUntil([this] { return !m_errors.empty(); });
         CPPUNIT_ASSERT(errorReason(m_errors.front()) == Reason::MalformedBody);
         CPPUNIT_ASSERT(m_documents.empty());
     }
 
-    void valueAboveTheLimitIsRefused()
+    void oversizedValueIsRejected()
     {
-        publish(m_config, "version: 1\n# " + std::string(2u << 20, 'x') + "\n");
-        ConfigClient client{m_loop, m_config.address(), configHooks()};
+        publish(m_configServer, "version: 1\n# " + std::string(2u << 20, 'x') + "\n");
+        ConfigClient client{m_loop, m_configServer.address(), configHooks()};
         client.read(0);
-        await([this] { return !m_errors.empty(); });
+        runUntil([this] { return !m_errors.empty(); });
         CPPUNIT_ASSERT(errorReason(m_errors.front()) == Reason::AnswerTooLarge);
     }
 
-    void instanceListIsReadWithItsFaultsLocated()
+    void instanceListIsParsedAndErrorsNameTheField()
     {
-        const auto good = readInstanceList(
+        const auto good = parseInstanceList(
             R"({"revision":4,"later":1,"instances":[{"name":"a","role":"side","region":"r","zone":"z",)"
             R"("address":"1.2.3.4:5","pool":"p","leaving":true,"more":[]}]})");
         CPPUNIT_ASSERT(good.ok());
@@ -119,31 +119,31 @@
              "instances[1].name"},
         };
         for (const auto &[text, field] : faults) {
-            const auto view = readInstanceList(text);
+            const auto view = parseInstanceList(text);
             CPPUNIT_ASSERT_MESSAGE(text, !view.ok());
             CPPUNIT_ASSERT_EQUAL(field, errorField(view.status()));
         }
     }
 
-    void backoffGrowsToItsBoundWithJitter()
+    void backoffDoublesUpToMaximumWithJitter()
     {
-        const Duration first = std::chrono::milliseconds{100};
-        const Duration longest = std::chrono::seconds{1};
-        Backoff backoff{first, longest, 7};
-        Duration bound = first;
+        const Duration initial = std::chrono::milliseconds{100};
+        const Duration maximum = std::chrono::seconds{1};
+        Backoff backoff{initial, maximum, 7};
+        Duration upperBound = initial;
         for (int step = 0; step < 8; ++step) {
             const Duration wait = backoff.next();
-            CPPUNIT_ASSERT(wait >= bound / 2 && wait <= bound);
-            bound = std::min(bound * 2, longest);
+            CPPUNIT_ASSERT(wait >= upperBound / 2 && wait <= upperBound);
+            upperBound = std::min(upperBound * 2, maximum);
         }
         backoff.reset();
-        CPPUNIT_ASSERT(backoff.next() <= first);
+        CPPUNIT_ASSERT(backoff.next() <= initial);
     }
 
     void setUp() override
     {
-        CPPUNIT_ASSERT(m_config.listen().ok());
-        CPPUNIT_ASSERT(m_list.listen().ok());
+        CPPUNIT_ASSERT(m_configServer.listen().ok());
+        CPPUNIT_ASSERT(m_instanceServer.listen().ok());
     }
 
 private:
@@ -162,7 +162,7 @@
         return hooks;
     }
 
-    void startWatch()
+    void startInstanceClient()
     {
         InstanceClientHooks hooks;
         hooks.view = [this](const std::shared_ptr<const InstanceView> &view) {
@@ -171,8 +171,8 @@
         hooks.failed = [this](const absl::Status &error) {
             m_errors.push_back(error);
         };
-        m_instances = std::make_unique<InstanceClient>(m_loop, m_list.address(), 3, std::move(hooks));
-        m_instances->start();
+        m_instanceClient = std::make_unique<InstanceClient>(m_loop, m_instanceServer.address(), 3, std::move(hooks));
+        m_instanceClient->start();
     }
 
     void control(const HttpServer &server, const std::string &path, const std::string &query, std::string body)
@@ -190,8 +190,8 @@
         hooks.failed = [&done](HttpFailure) {
             done = true;
         };
-        m_http.call(server.address(), std::move(request), std::move(hooks));
-        await([&done] { return done; });
+        m_httpClient.call(server.address(), std::move(request), std::move(hooks));
+        runUntil([&done] { return done; });
     }
 
     void publish(const HttpServer &server, std::string text)
@@ -199,9 +199,9 @@
         control(server, "/control/value", "", std::move(text));
     }
 
-    void publishList()
+    void publishInstanceList()
     {
-        publish(m_list, "[]");
+        publish(m_instanceServer, "[]");
     }
 
     void setFault(const HttpServer &server, const std::string &mode)
@@ -209,7 +209,7 @@
         control(server, "/control/fault", "mode=" + mode, "");
     }
 
-    void await(const std::function<bool()> &condition)
+    void runUntil(const std::function<bool()> &condition)
     {
         constexpr int maxRounds = 6000;
         for (int round = 0; !condition() && round < maxRounds; ++round) {
@@ -220,18 +220,18 @@
 
     SystemClock m_clock;
     Loop m_loop{m_clock};
-    WatchedValue m_document{m_loop, "/v1/config", "application/yaml", publishDocument};
-    WatchedValue m_listed{m_loop, "/v1/instances", "application/json", publishInstances};
-    HttpServer m_config{m_loop, HttpServerOptions{"127.0.0.1:0", {}, 8u << 20},
-                        [this](HttpRequest request, std::shared_ptr<HttpResponder> responder) {
-                            m_document.handle(std::move(request), std::move(responder));
-                        }};
-    HttpServer m_list{m_loop, HttpServerOptions{"127.0.0.1:0", {}, 8u << 20},
-                      [this](HttpRequest request, std::shared_ptr<HttpResponder> responder) {
-                          m_listed.handle(std::move(request), std::move(responder));
-                      }};
-    HttpClient m_http{m_loop, {}};
-    std::unique_ptr<InstanceClient> m_instances;
+    WatchedValue m_configValue{m_loop, "/v1/config", "application/yaml", publishDocument};
+    WatchedValue m_instanceListValue{m_loop, "/v1/instances", "application/json", publishInstances};
+    HttpServer m_configServer{m_loop, HttpServerOptions{"127.0.0.1:0", {}, 8u << 20},
+                              [this](HttpRequest request, std::shared_ptr<HttpResponder> responder) {
+                                  m_configValue.handle(std::move(request), std::move(responder));
+                              }};
+    HttpServer m_instanceServer{m_loop, HttpServerOptions{"127.0.0.1:0", {}, 8u << 20},
+                                [this](HttpRequest request, std::shared_ptr<HttpResponder> responder) {
+                                    m_instanceListValue.handle(std::move(request), std::move(responder));
+                                }};
+    HttpClient m_httpClient{m_loop, {}};
+    std::unique_ptr<InstanceClient> m_instanceClient;
     std::vector<std::uint64_t> m_revisions;
     std::vector<std::string> m_documents;
     int m_unchanged{};
