--- a/test/platform/standins.cpp
+++ b/test/platform/fakes.cpp
@@ -1,4 +1,4 @@
-#include "standins.h"
+#include "fakes.h"
 
 #include <absl/strings/escaping.h>
 #include <absl/strings/str_cat.h>
@@ -20,13 +20,13 @@
     return options;
 }
 
-constexpr int statusBusy = 503;
+constexpr int statusUnavailable = 503;
 constexpr int statusGone = 410;
-constexpr int statusOtherInstance = 421;
+constexpr int statusMisdirected = 421;
 
 } // namespace
 
-StoreStandIn::StoreStandIn(Loop &loop)
+FakeStore::FakeStore(Loop &loop)
     : m_loop{loop}
     , m_server{loop, serverOptions(),
                [this](const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder) {
@@ -36,71 +36,71 @@
     static_cast<void>(m_server.listen());
 }
 
-std::string StoreStandIn::address() const
+std::string FakeStore::address() const
 {
     return m_server.address();
 }
 
-void StoreStandIn::publish(const std::string &key, const std::string &value)
+void FakeStore::publish(const std::string &key, const std::string &value)
 {
     m_items[key] = {value, ++m_revision};
-    answerWatches(200);
+    answerWaitingWatches(200);
 }
 
-void StoreStandIn::remove(const std::string &key)
+void FakeStore::remove(const std::string &key)
 {
     m_items[key] = {{}, ++m_revision, true};
-    answerWatches(200);
+    answerWaitingWatches(200);
 }
 
-void StoreStandIn::setDown(bool down)
+void FakeStore::setUnavailable(bool isUnavailable)
 {
-    m_down = down;
-    answerWatches(down ? statusBusy : 200);
+    m_isUnavailable = isUnavailable;
+    answerWaitingWatches(isUnavailable ? statusUnavailable : 200);
 }
 
-void StoreStandIn::answerWatches(int status)
+void FakeStore::answerWaitingWatches(int status)
 {
     for (const Watch &watch : std::exchange(m_watches, {})) {
         watch.responder->answer({status, {}, page("events", watch.after)});
     }
 }
 
-void StoreStandIn::keepOldList()
+void FakeStore::freezeStaleList()
 {
-    m_oldItems = m_items;
-    m_oldRevision = m_revision;
+    m_staleItems = m_items;
+    m_staleRevision = m_revision;
 }
 
-void StoreStandIn::serveOldPagesAfter(const std::string &key)
+void FakeStore::splitStaleListAfter(const std::string &key)
 {
     m_splitAfter = key;
 }
 
-void StoreStandIn::forgetHistory()
+void FakeStore::discardHistory()
 {
-    m_historyBegin = m_revision;
+    m_discardedRevision = m_revision;
 }
 
-std::size_t StoreStandIn::calls() const noexcept
+std::size_t FakeStore::requestCount() const noexcept
 {
-    return m_calls;
+    return m_requestCount;
 }
 
-void StoreStandIn::handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder)
+void FakeStore::handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder)
 {
-    ++m_calls;
-    if (m_down) {
-        responder->answer({statusBusy, {}, {}});
+    ++m_requestCount;
+    if (m_isUnavailable) {
+        responder->answer({statusUnavailable, {}, {}});
         return;
     }
     if (request.path == "/bergamottide/kv-range") {
-        const bool isOld = queryValue(request.query, "allowStale") == "1" && !m_oldItems.empty();
-        responder->answer({200, {}, isOld ? oldPage(queryValue(request.query, "after")) : page("items", 0)});
+        const bool isStale = queryValue(request.query, "allowStale") == "1" && !m_staleItems.empty();
+        responder->answer({200, {}, isStale ? stalePage(queryValue(request.query, "after")) : page("items", 0)});
         return;
     }
     const std::uint64_t after = std::stoull(std::string{queryValue(request.query, "after")});
-    if (after < m_historyBegin) {
+    if (after < m_discardedRevision) {
         responder->answer({statusGone, {}, {}});
         return;
     }
@@ -110,11 +110,11 @@
     }
     m_watches.push_back({responder, after});
     const std::chrono::milliseconds wait{std::stoll(std::string{queryValue(request.query, "waitMs")})};
-    m_loop.at(m_loop.now() + wait, [this, responder] { expire(responder); });
+    m_loop.at(m_loop.now() + wait, [this, responder] { expireWatch(responder); });
 }
 
-/*! @brief Answers a watch without events if it still waits. */
-void StoreStandIn::expire(const std::shared_ptr<HttpResponder> &responder)
+/*! @brief Answers a watch without events if it is still waiting. */
+void FakeStore::expireWatch(const std::shared_ptr<HttpResponder> &responder)
 {
     const auto found = std::ranges::find(m_watches, responder, &Watch::responder);
     if (found != m_watches.end()) {
@@ -123,7 +123,7 @@
     }
 }
 
-std::string StoreStandIn::page(const std::string &field, std::uint64_t after) const
+std::string FakeStore::page(const std::string &field, std::uint64_t after) const
 {
     json items = json::array();
     for (const auto &[key, item] : m_items) {
@@ -140,23 +140,23 @@
     return json{{field, std::move(items)}, {"storeRevision", m_revision}}.dump();
 }
 
-/*! @brief Returns a page of a list that may be old, behind a key. */
-std::string StoreStandIn::oldPage(std::string_view after) const
+/*! @brief Returns the page after a key of a list with `allowStale`. */
+std::string FakeStore::stalePage(std::string_view after) const
 {
     const bool isFirstOfTwo = !m_splitAfter.empty() && after.empty();
     json items = json::array();
-    for (const auto &[key, item] : isFirstOfTwo ? m_items : m_oldItems) {
+    for (const auto &[key, item] : isFirstOfTwo ? m_items : m_staleItems) {
         if (key > after && (!isFirstOfTwo || key <= m_splitAfter)) {
             items.push_back({{"key", key}, {"value", absl::Base64Escape(item.value)}, {"revision", item.revision}});
         }
     }
     return json{{"items", std::move(items)},
                 {"hasMore", isFirstOfTwo},
-                {"storeRevision", isFirstOfTwo ? m_revision : m_oldRevision}}
+                {"storeRevision", isFirstOfTwo ? m_revision : m_staleRevision}}
         .dump();
 }
 
-EndpointStandIn::EndpointStandIn(Loop &loop, std::string instance)
+FakePlatformEndpoint::FakePlatformEndpoint(Loop &loop, std::string instance)
     : m_instance{std::move(instance)}
     , m_server{loop, serverOptions(),
                [this](const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder) {
@@ -166,66 +166,66 @@
     static_cast<void>(m_server.listen());
 }
 
-std::string EndpointStandIn::address() const
+std::string FakePlatformEndpoint::address() const
 {
     return m_server.address();
 }
 
-void EndpointStandIn::setMood(EndpointMood mood)
+void FakePlatformEndpoint::setBehaviour(EndpointBehaviour behaviour)
 {
-    m_mood = mood;
+    m_behaviour = behaviour;
 }
 
-const std::vector<HttpRequest> &EndpointStandIn::runs() const noexcept
+const std::vector<HttpRequest> &FakePlatformEndpoint::runs() const noexcept
 {
     return m_runs;
 }
 
-const std::vector<std::string> &EndpointStandIn::freed() const noexcept
+const std::vector<std::string> &FakePlatformEndpoint::releasedHandles() const noexcept
 {
-    return m_freed;
+    return m_releasedHandles;
 }
 
-void EndpointStandIn::handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder)
+void FakePlatformEndpoint::handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder)
 {
     if (request.path == "/bergamottide/stage-free") {
         const json body = json::parse(request.body);
         for (const json &handle : body.at("handles")) {
-            m_freed.push_back(handle.get<std::string>());
+            m_releasedHandles.push_back(handle.get<std::string>());
         }
         responder->answer({200, {}, {}});
         return;
     }
     if (headerValue(request.headers, "expect-instance") != m_instance) {
-        responder->answer({statusOtherInstance, {}, {}});
+        responder->answer({statusMisdirected, {}, {}});
         return;
     }
-    if (m_mood == EndpointMood::Full) {
-        responder->answer({statusBusy, {{"not-executed", "1"}}, {}});
+    if (m_behaviour == EndpointBehaviour::NotExecuted) {
+        responder->answer({statusUnavailable, {{"not-executed", "1"}}, {}});
         return;
     }
     if (request.path == "/bergamottide/stage-run") {
-        makePieces(request, *responder);
+        runStage(request, *responder);
         return;
     }
     run(request, *responder);
 }
 
-void EndpointStandIn::makePieces(const HttpRequest &request, HttpResponder &responder)
+void FakePlatformEndpoint::runStage(const HttpRequest &request, HttpResponder &responder)
 {
     json items = json::array();
     for (std::size_t item = 0; item < json::parse(request.body).at("items").size(); ++item) {
-        items.push_back({{"handle", absl::StrCat(address(), "/piece-", ++m_pieces)}});
+        items.push_back({{"handle", absl::StrCat(address(), "/piece-", ++m_pieceCount)}});
     }
     responder.answer({200, {}, json{{"items", std::move(items)}}.dump()});
 }
 
-void EndpointStandIn::run(const HttpRequest &request, HttpResponder &responder)
+void FakePlatformEndpoint::run(const HttpRequest &request, HttpResponder &responder)
 {
     m_runs.push_back(request);
     const std::string attempt{headerValue(request.headers, "attempt-id")};
-    HttpHeaders headers{{"attempt-id", m_mood == EndpointMood::Foreign ? "another" : attempt}};
-    if (m_mood != EndpointMood::Unsigned) {
+    HttpHeaders headers{{"attempt-id", m_behaviour == EndpointBehaviour::WrongAttempt ? "another" : attempt}};
+    if (m_behaviour != EndpointBehaviour::Unsigned) {
         headers.emplace_back("response-seal", "seal");
     }
     if (headerValue(request.headers, "model").empty()) {
--- /dev/null
+++ b/test/platform/fakes.h
@@ -0,0 +1,120 @@
+#pragma once
+
+#include "bergamottide/net/httpserver.h"
+#include "bergamottide/net/loop.h"
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+namespace bergamottide::test {
+
+/*! @brief Fake of the platform's key-value store: serves lists and watches of the items that a test publishes. */
+class FakeStore
+{
+public:
+    explicit FakeStore(Loop &loop);
+
+    [[nodiscard]] std::string address() const;
+
+    /*! @brief Writes an item and answers waiting watches. */
+    void publish(const std::string &key, const std::string &value);
+
+    /*! @brief Removes an item and answers waiting watches. */
+    void remove(const std::string &key);
+
+    /*! @brief Sets whether every request is answered 503. */
+    void setUnavailable(bool isUnavailable);
+
+    /*! @brief Answers lists with `allowStale` with the present items from now on, whatever is published later. */
+    void freezeStaleList();
+
+    /*! @brief Splits lists with `allowStale` after a key: the first page is current, the second is stale. */
+    void splitStaleListAfter(const std::string &key);
+
+    /*! @brief Discards the history: watches from before the present revision are answered 410. */
+    void discardHistory();
+
+    /*! @brief Returns the number of requests received. */
+    [[nodiscard]] std::size_t requestCount() const noexcept;
+
+private:
+    struct Item
+    {
+        std::string value;
+        std::uint64_t revision{};
+        bool isRemoved{};
+    };
+
+    struct Watch
+    {
+        std::shared_ptr<HttpResponder> responder;
+        std::uint64_t after{};
+    };
+
+    void handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
+    void answerWaitingWatches(int status);
+    void expireWatch(const std::shared_ptr<HttpResponder> &responder);
+    [[nodiscard]] std::string page(const std::string &field, std::uint64_t after) const;
+    [[nodiscard]] std::string stalePage(std::string_view after) const;
+
+    Loop &m_loop;
+    HttpServer m_server;
+    std::map<std::string, Item> m_items;
+    std::vector<Watch> m_watches;
+    /*! @brief Items and revision of lists with `allowStale`; empty if these are current. */
+    std::map<std::string, Item> m_staleItems;
+    std::uint64_t m_staleRevision{};
+    /*! @brief Last key of the first page of such a list; empty for a single page. */
+    std::string m_splitAfter;
+    /*! @brief Oldest revision from which watches can start. */
+    std::uint64_t m_discardedRevision{};
+    std::uint64_t m_revision{7};
+    std::size_t m_requestCount{};
+    bool m_isUnavailable{};
+};
+
+/*! @brief How a fake endpoint answers its next requests. */
+enum class EndpointBehaviour
+{
+    Normal,
+    /*! @brief Answers 503 with `not-executed`. */
+    NotExecuted,
+    /*! @brief Answers with the identity of another request attempt. */
+    WrongAttempt,
+    /*! @brief Answers without `response-seal`. */
+    Unsigned
+};
+
+/*! @brief Fake endpoint of the platform: plain service, stage endpoint and model engine in one. */
+class FakePlatformEndpoint
+{
+public:
+    FakePlatformEndpoint(Loop &loop, std::string instance);
+
+    [[nodiscard]] std::string address() const;
+
+    void setBehaviour(EndpointBehaviour behaviour);
+
+    /*! @brief Returns the executed requests in order, without stage calls and releases. */
+    [[nodiscard]] const std::vector<HttpRequest> &runs() const noexcept;
+
+    /*! @brief Returns the handles of released stage results. */
+    [[nodiscard]] const std::vector<std::string> &releasedHandles() const noexcept;
+
+private:
+    void handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
+    void runStage(const HttpRequest &request, HttpResponder &responder);
+    void run(const HttpRequest &request, HttpResponder &responder);
+
+    std::string m_instance;
+    EndpointBehaviour m_behaviour{};
+    std::vector<HttpRequest> m_runs;
+    std::vector<std::string> m_releasedHandles;
+    std::size_t m_pieceCount{};
+    HttpServer m_server;
+};
+
+} // namespace bergamottide::test
--- a/test/platform/storewatch.cpp
+++ b/test/platform/storewatch.cpp
@@ -1,6 +1,6 @@
 #include "storewatch.h"
 #include "changelog.h"
-#include "standins.h"
+#include "fakes.h"
 #include "storerelay.h"
 
 #include "bergamottide/net/httpserver.h"
@@ -17,7 +17,7 @@
 
 using namespace bergamottide;
 using namespace bergamottide::platform;
-using test::StoreStandIn;
+using test::FakeStore;
 
 namespace {
 
@@ -148,20 +148,20 @@
         m_store.publish("servers/a", "1");
         std::vector<std::unique_ptr<Reader>> followers;
         m_reader.start();
-        until([this] { return m_reader.value("servers/a") == "1"; });
+        runUntil([this] { return m_reader.value("servers/a") == "1"; });
         for (int number = 0; number < 20; ++number) {
             followers.push_back(std::make_unique<Reader>(m_loop, m_store.address()));
             followers.back()->followThrough({m_reader.address()});
             followers.back()->start();
         }
-        until([this] { return m_reader.asked() >= 20; });
+        runUntil([this] { return m_reader.asked() >= 20; });
         // Each has listed once, an old list and the watch behind it; from now on they ask their reader.
-        const std::size_t calls = m_store.calls();
+        const std::size_t requestCount = m_store.requestCount();
         m_store.publish("servers/a", "2");
-        until([&followers] {
+        runUntil([&followers] {
             return std::ranges::all_of(followers, [](const auto &one) { return one->value("servers/a") == "2"; });
         });
-        CPPUNIT_ASSERT(m_store.calls() <= calls + 3);
+        CPPUNIT_ASSERT(m_store.requestCount() <= requestCount + 3);
     }
 
     void followerHearsOfChangesThroughItsReader()
@@ -169,7 +169,7 @@
         startBoth();
         m_store.publish("servers/a", "1");
         m_store.publish("servers/b", "2");
-        until([this] { return m_follower.value("servers/a") == "1" && m_follower.value("servers/b") == "2"; });
+        runUntil([this] { return m_follower.value("servers/a") == "1" && m_follower.value("servers/b") == "2"; });
         CPPUNIT_ASSERT(m_reader.asked() > 0);
     }
 
@@ -180,12 +180,12 @@
         m_reader.start();
         m_follower.followThrough({lost->address(), m_reader.address()});
         m_follower.start();
-        until([&lost] { return lost->asked() > 0; });
+        runUntil([&lost] { return lost->asked() > 0; });
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_reader.asked());
         lost.reset();
-        until([this] { return m_reader.asked() > 0; });
+        runUntil([this] { return m_reader.asked() > 0; });
         m_store.publish("servers/a", "1");
-        until([this] { return m_follower.value("servers/a") == "1"; });
+        runUntil([this] { return m_follower.value("servers/a") == "1"; });
         CPPUNIT_ASSERT(!m_follower.isLost());
     }
 
@@ -193,9 +193,9 @@
     {
         m_follower.followThrough({"127.0.0.1:1"});
         m_follower.start();
-        until([this] { return !m_follower.isLost(); });
+        runUntil([this] { return !m_follower.isLost(); });
         m_store.publish("servers/a", "1");
-        until([this] { return m_follower.value("servers/a") == "1"; });
+        runUntil([this] { return m_follower.value("servers/a") == "1"; });
     }
 
     void followerOfAReaderThatCannotReadTurnsToTheStore()
@@ -204,9 +204,9 @@
         blind.start();
         m_follower.followThrough({blind.address()});
         m_follower.start();
-        until([&blind] { return blind.asked() > 0; });
+        runUntil([&blind] { return blind.asked() > 0; });
         m_store.publish("servers/a", "1");
-        until([this] { return m_follower.value("servers/a") == "1"; });
+        runUntil([this] { return m_follower.value("servers/a") == "1"; });
         CPPUNIT_ASSERT(!m_follower.isLost());
     }
 
@@ -215,20 +215,20 @@
         startBoth();
         const std::string large(100'000, 'x');
         m_store.publish("op/config", large);
-        until([this, &large] { return m_follower.value("op/config") == large; });
+        runUntil([this, &large] { return m_follower.value("op/config") == large; });
         // The follower asks its reader again afterwards.
         const std::size_t asked = m_reader.asked();
-        until([this, asked] { return m_reader.asked() > asked; });
+        runUntil([this, asked] { return m_reader.asked() > asked; });
     }
 
     void oldListIsBroughtUpToDateBeforeItIsUsed()
     {
         m_store.publish("servers/a", "1");
-        m_store.keepOldList();
+        m_store.freezeStaleList();
         m_store.publish("servers/a", "2");
         m_store.publish("servers/b", "3");
         m_reader.start();
-        until([this] { return !m_reader.value("servers/a").empty(); });
+        runUntil([this] { return !m_reader.value("servers/a").empty(); });
         CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_reader.value("servers/a"));
         CPPUNIT_ASSERT_EQUAL(std::string{"3"}, m_reader.value("servers/b"));
     }
@@ -237,13 +237,13 @@
     {
         m_store.publish("servers/a", "1");
         m_store.publish("servers/b", "1");
-        m_store.keepOldList();
+        m_store.freezeStaleList();
         m_store.publish("servers/b", "2");
         m_store.publish("servers/a", "2");
         // The first page is new, the second one old: what lies between is no news behind the first.
-        m_store.serveOldPagesAfter("servers/a");
+        m_store.splitStaleListAfter("servers/a");
         m_reader.start();
-        until([this] { return !m_reader.value("servers/b").empty(); });
+        runUntil([this] { return !m_reader.value("servers/b").empty(); });
         CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_reader.value("servers/a"));
         CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_reader.value("servers/b"));
     }
@@ -251,11 +251,11 @@
     void listOlderThanTheHistoryIsReadAnew()
     {
         m_store.publish("servers/a", "1");
-        m_store.keepOldList();
+        m_store.freezeStaleList();
         m_store.publish("servers/a", "2");
-        m_store.forgetHistory();
+        m_store.discardHistory();
         m_reader.start();
-        until([this] { return !m_reader.value("servers/a").empty(); });
+        runUntil([this] { return !m_reader.value("servers/a").empty(); });
         CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_reader.value("servers/a"));
     }
 
@@ -302,14 +302,14 @@
         m_reader.start();
         m_follower.followThrough({m_reader.address()});
         m_follower.start();
-        until([this] { return !m_reader.isLost() && m_reader.asked() > 1; });
+        runUntil([this] { return !m_reader.isLost() && m_reader.asked() > 1; });
     }
 
     /*! @brief Runs the loop until something holds; gives up after far more rounds than it takes. */
-    void until(const std::function<bool()> &condition)
+    void runUntil(const std::function<bool()> &condition)
     {
-        constexpr int mostRounds = 2000;
-        for (int round = 0; round < mostRounds && !condition(); ++round) {
+        constexpr int maxRounds = 2000;
+        for (int round = 0; round < maxRounds && !condition(); ++round) {
             m_loop.runOnce(std::chrono::milliseconds{10});
         }
         CPPUNIT_ASSERT(condition());
@@ -317,7 +317,7 @@
 
     SystemClock m_clock;
     Loop m_loop{m_clock};
-    StoreStandIn m_store{m_loop};
+    FakeStore m_store{m_loop};
     Reader m_reader{m_loop, m_store.address()};
     Reader m_follower{m_loop, m_store.address()};
 };
