--- a/test/platform/codecs.cpp
+++ b/test/platform/codecs.cpp
@@ -31,34 +31,34 @@
 
 } // namespace
 
-/*! @brief What the platform's bytes mean to the product, and the other way round. */
+/*! @brief Codecs of the platform's HTTP messages and of the items in its store. */
 class PlatformCodecsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PlatformCodecsTest);
-    CPPUNIT_TEST(readsACallersRequest);
-    CPPUNIT_TEST(refusesHeadersThatCannotBeRead);
-    CPPUNIT_TEST(passesNothingOnThatOnlyTheSystemMaySet);
-    CPPUNIT_TEST(writesARunWithWhatIsLeft);
-    CPPUNIT_TEST(takesNoAnswerOfAnotherRequest);
-    CPPUNIT_TEST(takesARejectionWithoutAName);
-    CPPUNIT_TEST(givesATimeToComeBackInFractions);
-    CPPUNIT_TEST(writesAndReadsStageCalls);
-    CPPUNIT_TEST(answerWithTheWrongNumberOfItemsIsBroken);
-    CPPUNIT_TEST(readsAConfiguration);
-    CPPUNIT_TEST(configurationOfTheWrongTypesIsATypedError);
-    CPPUNIT_TEST(entryOfAnotherWriterNamesNoEndpoint);
-    CPPUNIT_TEST(entriesTravelInAShortFormThatSaysTheSame);
-    CPPUNIT_TEST(coldnessThatRunsDownIsNoNews);
-    CPPUNIT_TEST(itemThatCannotBeReadLeavesTheOthers);
-    CPPUNIT_TEST(runWhoseInputsAreGoneIsTold);
-    CPPUNIT_TEST(readsPagesAndWritesThemForPeers);
-    CPPUNIT_TEST(pageForAPeerLeavesOutWhatItKnows);
+    CPPUNIT_TEST(decodesCallerRequest);
+    CPPUNIT_TEST(rejectsMalformedHeaders);
+    CPPUNIT_TEST(removesReservedAndHopByHopHeaders);
+    CPPUNIT_TEST(encodesRunWithRemainingDeadline);
+    CPPUNIT_TEST(verifiesAttemptAndSealOfResponses);
+    CPPUNIT_TEST(acceptsRejectionWithoutAttempt);
+    CPPUNIT_TEST(encodesRetryAfterInFractionalSeconds);
+    CPPUNIT_TEST(encodesAndDecodesStageCalls);
+    CPPUNIT_TEST(stageResponseWithWrongItemCountIsBroken);
+    CPPUNIT_TEST(decodesConfiguration);
+    CPPUNIT_TEST(wrongJsonTypesAreErrors);
+    CPPUNIT_TEST(rejectsInvalidEndpointEntries);
+    CPPUNIT_TEST(compactEndpointEntriesRoundTrip);
+    CPPUNIT_TEST(decreasedColdTimeIsNoChange);
+    CPPUNIT_TEST(malformedItemDoesNotAffectOthers);
+    CPPUNIT_TEST(detectsMissingInputs);
+    CPPUNIT_TEST(pagesRoundTrip);
+    CPPUNIT_TEST(unchangedItemsAreEncodedWithoutValue);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void readsACallersRequest()
+    void decodesCallerRequest()
     {
-        const auto read = platform::readRequest(CallId{1}, callerRequest());
+        const auto read = platform::decodeRequest(CallId{1}, callerRequest());
         CPPUNIT_ASSERT(read.ok());
         CPPUNIT_ASSERT_EQUAL(std::string{"a1"}, read->attempt);
         CPPUNIT_ASSERT_EQUAL(std::string{"example"}, read->host);
@@ -70,7 +70,7 @@
         CPPUNIT_ASSERT((read->pieces == std::vector<std::uint32_t>{2, 0}));
     }
 
-    void refusesHeadersThatCannotBeRead()
+    void rejectsMalformedHeaders()
     {
         for (const auto &[name, value] : HttpHeaders{{"deadline-ms", "soon"},
                                                      {"deadline-ms", "-1"},
@@ -81,11 +81,11 @@
             HttpRequest request = callerRequest();
             std::erase_if(request.headers, [&name = name](const auto &header) { return header.first == name; });
             request.headers.emplace_back(name, value);
-            CPPUNIT_ASSERT(!platform::readRequest(CallId{1}, request).ok());
+            CPPUNIT_ASSERT(!platform::decodeRequest(CallId{1}, request).ok());
         }
     }
 
-    void passesNothingOnThatOnlyTheSystemMaySet()
+    void removesReservedAndHopByHopHeaders()
     {
         HttpRequest request = callerRequest();
         for (const char *name :
@@ -94,7 +94,7 @@
             request.headers.emplace_back(name, "1");
         }
         request.headers.emplace_back("Connection", "close, x-local");
-        const HttpRequest out = platform::writeRun(run(request));
+        const HttpRequest out = platform::encodeRun(startRun(request));
         for (const char *name :
              {"tenant", "hold", "pin-ms", "kv-backup", "kv-from", "kv-fetch", "inputs", "request-urgency",
               "expect-version", "transfer-encoding", "upgrade", "connection", "x-local", "x-api-key"}) {
@@ -104,14 +104,14 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"m"}, std::string{headerValue(out.headers, "model")});
     }
 
-    void writesARunWithWhatIsLeft()
+    void encodesRunWithRemainingDeadline()
     {
-        serving::StartRun start = run(callerRequest());
+        serving::StartRun start = startRun(callerRequest());
         start.workspace = WorkspaceName{"north"};
         start.urgency = 2;
         start.inputs = {"h1", "h2"};
         start.lastEvent = "7";
-        const HttpRequest out = platform::writeRun(start);
+        const HttpRequest out = platform::encodeRun(start);
         CPPUNIT_ASSERT_EQUAL(std::string{"/draft/1?q=1"}, out.path);
         CPPUNIT_ASSERT_EQUAL(std::string{"example:80"}, out.authority);
         CPPUNIT_ASSERT_EQUAL(std::string{"1500"}, std::string{headerValue(out.headers, "deadline-ms")});
@@ -121,74 +121,76 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"7"}, std::string{headerValue(out.headers, "last-event-id")});
     }
 
-    void takesNoAnswerOfAnotherRequest()
+    void verifiesAttemptAndSealOfResponses()
     {
         serving::CallerRequest request;
         request.attempt = "a1";
-        const auto own = platform::readAnswerHead(
+        const auto own = platform::decodeResponseHead(
             request, 200, {{"Attempt-Id", "a1"}, {"Response-Seal", "s"}, {"Server-Load", "3,1,8"}, {"X-Kept", "1"}});
         CPPUNIT_ASSERT(!own.foreign && own.sealed && !own.notExecuted);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{8}, own.load->slots);
         CPPUNIT_ASSERT_EQUAL(std::string{"1"}, std::string{headerValue(own.headers, "x-kept")});
-        CPPUNIT_ASSERT(platform::readAnswerHead(request, 200, {{"Attempt-Id", "a2"}, {"Response-Seal", "s"}}).foreign);
-        CPPUNIT_ASSERT(platform::readAnswerHead(request, 200, {{"Response-Seal", "s"}}).foreign);
-        CPPUNIT_ASSERT(!platform::readAnswerHead(
+        CPPUNIT_ASSERT(
+            platform::decodeResponseHead(request, 200, {{"Attempt-Id", "a2"}, {"Response-Seal", "s"}}).foreign);
+        CPPUNIT_ASSERT(platform::decodeResponseHead(request, 200, {{"Response-Seal", "s"}}).foreign);
+        CPPUNIT_ASSERT(!platform::decodeResponseHead(
                             request, 200, {{"Attempt-Id", "a1"}, {"Response-Seal", "s"}, {"Content-Encoding", "gzip"}})
                             .sealed);
     }
 
-    void takesARejectionWithoutAName()
+    void acceptsRejectionWithoutAttempt()
     {
         serving::CallerRequest request;
         request.attempt = "a1";
-        const auto rejected = platform::readAnswerHead(request, 503, {{"Not-Executed", "1"}});
+        const auto rejected = platform::decodeResponseHead(request, 503, {{"Not-Executed", "1"}});
         CPPUNIT_ASSERT(rejected.notExecuted && !rejected.foreign);
-        CPPUNIT_ASSERT(platform::readAnswerHead(request, 421, {}).notExecuted);
-        CPPUNIT_ASSERT(platform::readAnswerHead(request, 503, {{"Not-Executed", "1"}, {"Attempt-Id", "a2"}}).foreign);
+        CPPUNIT_ASSERT(platform::decodeResponseHead(request, 421, {}).notExecuted);
+        CPPUNIT_ASSERT(
+            platform::decodeResponseHead(request, 503, {{"Not-Executed", "1"}, {"Attempt-Id", "a2"}}).foreign);
     }
 
-    void givesATimeToComeBackInFractions()
+    void encodesRetryAfterInFractionalSeconds()
     {
-        const HttpAnswer answer =
-            platform::writeRefusal({CallId{1}, serving::AnswerKind::Unavailable, std::chrono::milliseconds{250}}, "a1");
+        const HttpAnswer answer = platform::encodeRefusal(
+            {CallId{1}, serving::AnswerKind::Unavailable, std::chrono::milliseconds{250}}, "a1");
         CPPUNIT_ASSERT_EQUAL(503, answer.status);
         CPPUNIT_ASSERT_EQUAL(std::string{"0.250"}, std::string{headerValue(answer.headers, "retry-after")});
-        CPPUNIT_ASSERT_EQUAL(504, platform::writeRefusal({CallId{1}, serving::AnswerKind::TimedOut, {}}, "a1").status);
+        CPPUNIT_ASSERT_EQUAL(504, platform::encodeRefusal({CallId{1}, serving::AnswerKind::TimedOut, {}}, "a1").status);
     }
 
-    void writesAndReadsStageCalls()
+    void encodesAndDecodesStageCalls()
     {
         serving::StartStageCall call;
         call.instance = InstanceName{"encoder-1"};
         call.deadline = std::chrono::milliseconds{900};
         call.items = {{"a1", 0, 2, std::chrono::milliseconds{900}, "input", {}},
                       {"a2", 1, 0, std::chrono::milliseconds{500}, "", {"h1"}}};
-        const HttpRequest out = platform::writeStageCall(call);
+        const HttpRequest out = platform::encodeStageCall(call);
         CPPUNIT_ASSERT_EQUAL(std::string{R"({"items":[{"id":"a1","key":"input","leftMs":900,"piece":2,"stage":0},)"
                                          R"({"id":"a2","inputs":["h1"],"leftMs":500,"piece":0,"stage":1}]})"},
                              out.body);
         CPPUNIT_ASSERT_EQUAL(std::string{"encoder-1"}, std::string{headerValue(out.headers, "expect-instance")});
-        const auto ended = platform::readStageAnswer(serving::StageCallNumber{1}, 2,
-                                                     {200, {}, R"({"items":[{"handle":"h2"},{"reason":"gone"}]})"});
+        const auto ended = platform::decodeStageResponse(serving::StageCallNumber{1}, 2,
+                                                         {200, {}, R"({"items":[{"handle":"h2"},{"reason":"gone"}]})"});
         CPPUNIT_ASSERT(ended.end == serving::StageCallEnd::Answered);
         CPPUNIT_ASSERT_EQUAL(std::string{"h2"}, ended.results[0].handle);
         CPPUNIT_ASSERT(ended.results[1].failure == serving::PieceFailure::InputGone);
     }
 
-    void answerWithTheWrongNumberOfItemsIsBroken()
+    void stageResponseWithWrongItemCountIsBroken()
     {
         const serving::StageCallNumber call{1};
-        CPPUNIT_ASSERT(platform::readStageAnswer(call, 2, {200, {}, R"({"items":[{"handle":"h2"}]})"}).end
+        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {200, {}, R"({"items":[{"handle":"h2"}]})"}).end
                        == serving::StageCallEnd::Broken);
-        CPPUNIT_ASSERT(platform::readStageAnswer(call, 2, {200, {}, "x"}).end == serving::StageCallEnd::Broken);
-        CPPUNIT_ASSERT(platform::readStageAnswer(call, 2, {503, {{"not-executed", "1"}}, ""}).end
+        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {200, {}, "x"}).end == serving::StageCallEnd::Broken);
+        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {503, {{"not-executed", "1"}}, ""}).end
                        == serving::StageCallEnd::Rejected);
-        CPPUNIT_ASSERT(platform::readStageAnswer(call, 2, {500, {}, ""}).end == serving::StageCallEnd::Broken);
+        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {500, {}, ""}).end == serving::StageCallEnd::Broken);
     }
 
-    void readsAConfiguration()
+    void decodesConfiguration()
     {
-        const auto catalog = platform::readCatalog(R"({"version":7,"routes":[
+        const auto catalog = platform::decodeCatalog(R"({"version":7,"routes":[
             {"name":"r1","host":"Example","pathPrefix":"/a/","kind":"streaming","timeoutMs":6000,"targetLatencyMs":1000,"priority":1,
              "trafficSplit":[{"service":"m1","weight":90},{"service":"m2","weight":10}],"maxAttempts":2,"resumable":true,
              "stages":[{"service":"e","after":[],"bytes":8000},{"service":"f","after":[0],"bytes":60000}]},
@@ -212,23 +214,23 @@
         CPPUNIT_ASSERT_EQUAL(11.0, catalog->pool(PoolName{"e"})->warmup->perSecond);
     }
 
-    void configurationOfTheWrongTypesIsATypedError()
+    void wrongJsonTypesAreErrors()
     {
-        CPPUNIT_ASSERT(!platform::readCatalog("{}").ok());
-        CPPUNIT_ASSERT(!platform::readCatalog("x").ok());
-        CPPUNIT_ASSERT(!platform::readCatalog(R"({"version":1,"routes":[{"name":7}]})").ok());
-        CPPUNIT_ASSERT(!platform::readEndpoint("i", R"({"service":["x"]})").ok());
+        CPPUNIT_ASSERT(!platform::decodeCatalog("{}").ok());
+        CPPUNIT_ASSERT(!platform::decodeCatalog("x").ok());
+        CPPUNIT_ASSERT(!platform::decodeCatalog(R"({"version":1,"routes":[{"name":7}]})").ok());
+        CPPUNIT_ASSERT(!platform::decodeEndpoint("i", R"({"service":["x"]})").ok());
     }
 
-    void entryOfAnotherWriterNamesNoEndpoint()
+    void rejectsInvalidEndpointEntries()
     {
         const std::string good = R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":4,"state":"ready",)"
                                  R"("born":1764729600000})";
-        CPPUNIT_ASSERT(platform::readEndpoint("i", good).ok());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1764729600000}, platform::readEndpoint("i", good)->incarnation);
+        CPPUNIT_ASSERT(platform::decodeEndpoint("i", good).ok());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1764729600000}, platform::decodeEndpoint("i", good)->incarnation);
         const std::string cold = R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":4,"state":"ready",)"
                                  R"("coldLeftMs":1500})";
-        CPPUNIT_ASSERT(platform::readEndpoint("i", cold)->coldLeft == std::chrono::milliseconds{1500});
+        CPPUNIT_ASSERT(platform::decodeEndpoint("i", cold)->coldLeft == std::chrono::milliseconds{1500});
         for (const char *bad : {
                  R"({})",
                  R"([1])",
@@ -246,26 +248,26 @@
                  R"({"service":7,"address":"10.0.0.1:80","zone":"a","slots":4,"state":"ready"})",
                  "\xff\xfe\x00",
              }) {
-            CPPUNIT_ASSERT_MESSAGE(bad, !platform::readEndpoint("i", bad).ok());
+            CPPUNIT_ASSERT_MESSAGE(bad, !platform::decodeEndpoint("i", bad).ok());
         }
     }
 
-    void entriesTravelInAShortFormThatSaysTheSame()
+    void compactEndpointEntriesRoundTrip()
     {
         const std::string entry = R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":4,"state":"draining",)"
                                   R"("coldLeftMs":1500,"born":1764729600000,"stage":"both","version":"v1",)"
                                   R"("models":[{"name":"m","version":1,"adapters":[]}],"sequence":9})";
         const std::string fromStore = R"({"items":[{"key":"servers/i-1","value":")" + absl::Base64Escape(entry)
             + R"(","revision":7}],"storeRevision":8})";
-        const auto page = platform::readPage(fromStore);
+        const auto page = platform::decodePage(fromStore);
         CPPUNIT_ASSERT(page.ok());
-        const std::string told = platform::writeChanges(page->items, 8);
-        // What hundreds of followers are told of each of thousands of entries.
-        CPPUNIT_ASSERT(told.size() < fromStore.size() / 2);
-        const auto heard = platform::readPage(told);
-        CPPUNIT_ASSERT(heard.ok());
-        const auto record = platform::readEndpoint("i-1", heard->items.at(0).value);
-        const auto original = platform::readEndpoint("i-1", entry);
+        const std::string encoded = platform::encodeChanges(page->items, 8);
+        // Relays send each changed entry to many followers.
+        CPPUNIT_ASSERT(encoded.size() < fromStore.size() / 2);
+        const auto decoded = platform::decodePage(encoded);
+        CPPUNIT_ASSERT(decoded.ok());
+        const auto record = platform::decodeEndpoint("i-1", decoded->items.at(0).value);
+        const auto original = platform::decodeEndpoint("i-1", entry);
         CPPUNIT_ASSERT(record.ok() && original.ok());
         CPPUNIT_ASSERT_EQUAL(original->instance, record->instance);
         CPPUNIT_ASSERT_EQUAL(original->pool, record->pool);
@@ -275,18 +277,18 @@
         CPPUNIT_ASSERT_EQUAL(original->draining, record->draining);
         CPPUNIT_ASSERT_EQUAL(original->incarnation, record->incarnation);
         CPPUNIT_ASSERT(original->coldLeft == record->coldLeft);
-        CPPUNIT_ASSERT(!platform::readEndpoint("i-1", R"(["s",7])").ok());
-        CPPUNIT_ASSERT(!platform::readEndpoint("i-1", R"(["s",7,"a",4,true,0,0])").ok());
+        CPPUNIT_ASSERT(!platform::decodeEndpoint("i-1", R"(["s",7])").ok());
+        CPPUNIT_ASSERT(!platform::decodeEndpoint("i-1", R"(["s",7,"a",4,true,0,0])").ok());
     }
 
-    void coldnessThatRunsDownIsNoNews()
+    void decreasedColdTimeIsNoChange()
     {
         const std::string before = R"(["s","10.0.0.1:80","a",4,false,0,1500])";
-        CPPUNIT_ASSERT(platform::isOnlyCountdown(before, R"(["s","10.0.0.1:80","a",4,false,0,300])"));
-        CPPUNIT_ASSERT(platform::isOnlyCountdown(before, before));
-        CPPUNIT_ASSERT(!platform::isOnlyCountdown(before, R"(["s","10.0.0.1:80","a",4,false,0,3000])"));
-        CPPUNIT_ASSERT(!platform::isOnlyCountdown(before, R"(["s","10.0.0.1:80","a",4,true,0,300])"));
-        CPPUNIT_ASSERT(!platform::isOnlyCountdown("", before));
+        CPPUNIT_ASSERT(platform::onlyColdTimeDecreased(before, R"(["s","10.0.0.1:80","a",4,false,0,300])"));
+        CPPUNIT_ASSERT(platform::onlyColdTimeDecreased(before, before));
+        CPPUNIT_ASSERT(!platform::onlyColdTimeDecreased(before, R"(["s","10.0.0.1:80","a",4,false,0,3000])"));
+        CPPUNIT_ASSERT(!platform::onlyColdTimeDecreased(before, R"(["s","10.0.0.1:80","a",4,true,0,300])"));
+        CPPUNIT_ASSERT(!platform::onlyColdTimeDecreased("", before));
         platform::ChangeLog log;
         log.replace({{"servers/i", before, 5}}, 5);
         log.apply({{"servers/i", R"(["s","10.0.0.1:80","a",4,false,0,300])", 6}}, 6);
@@ -297,9 +299,9 @@
         CPPUNIT_ASSERT(log.since(7)->at(0).isRemoved);
     }
 
-    void itemThatCannotBeReadLeavesTheOthers()
+    void malformedItemDoesNotAffectOthers()
     {
-        const auto page = platform::readPage(
+        const auto page = platform::decodePage(
             R"({"items":[{"key":"servers/i-1","value":7,"revision":1},{"key":["x"],"value":"","revision":1},9,)"
             R"({"key":"servers/i-2","value":"***","revision":2},{"key":"servers/i-3","value":"e30=","revision":3}],)"
             R"("storeRevision":3})");
@@ -310,38 +312,38 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"{}"}, page->items[2].value);
     }
 
-    void runWhoseInputsAreGoneIsTold()
+    void detectsMissingInputs()
     {
-        const serving::CallerRequest request = *platform::readRequest(CallId{1}, HttpRequest{});
-        CPPUNIT_ASSERT(platform::readAnswerHead(request, 409, {{"not-executed", "1"}}).inputsGone);
-        CPPUNIT_ASSERT(!platform::readAnswerHead(request, 409, {}).inputsGone);
-        CPPUNIT_ASSERT(!platform::readAnswerHead(request, 503, {{"not-executed", "1"}}).inputsGone);
+        const serving::CallerRequest request = *platform::decodeRequest(CallId{1}, HttpRequest{});
+        CPPUNIT_ASSERT(platform::decodeResponseHead(request, 409, {{"not-executed", "1"}}).inputsGone);
+        CPPUNIT_ASSERT(!platform::decodeResponseHead(request, 409, {}).inputsGone);
+        CPPUNIT_ASSERT(!platform::decodeResponseHead(request, 503, {{"not-executed", "1"}}).inputsGone);
     }
 
-    void readsPagesAndWritesThemForPeers()
+    void pagesRoundTrip()
     {
         const std::string draining =
             R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":4,"state":"draining"})";
         const auto page =
-            platform::readPage(R"({"items":[{"key":"servers/i-1","value":")" + absl::Base64Escape(draining)
-                               + R"(","revision":12}],"hasMore":true,"storeRevision":13})");
+            platform::decodePage(R"({"items":[{"key":"servers/i-1","value":")" + absl::Base64Escape(draining)
+                                 + R"(","revision":12}],"hasMore":true,"storeRevision":13})");
         CPPUNIT_ASSERT(page.ok());
         CPPUNIT_ASSERT(page->hasMore);
-        CPPUNIT_ASSERT(platform::readEndpoint("i-1", page->items[0].value)->draining);
-        const auto again = platform::readPage(platform::writePage(*page));
+        CPPUNIT_ASSERT(platform::decodeEndpoint("i-1", page->items[0].value)->draining);
+        const auto again = platform::decodePage(platform::encodePage(*page));
         CPPUNIT_ASSERT(again.ok());
         CPPUNIT_ASSERT_EQUAL(page->items[0].value, again->items[0].value);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{13}, again->revision);
     }
 
-    void pageForAPeerLeavesOutWhatItKnows()
+    void unchangedItemsAreEncodedWithoutValue()
     {
         platform::StorePage page;
         page.revision = 9;
         page.items = {{"op/config", "large", 4, false, true}, {"servers/i-1", "new", 8, false, false}};
-        const std::string text = platform::writePage(page);
+        const std::string text = platform::encodePage(page);
         CPPUNIT_ASSERT(text.find("bGFyZ2U") == std::string::npos);
-        const auto read = platform::readPage(text);
+        const auto read = platform::decodePage(text);
         CPPUNIT_ASSERT(read.ok());
         CPPUNIT_ASSERT(read->items[0].isUnchanged);
         CPPUNIT_ASSERT(!read->items[1].isUnchanged);
@@ -349,12 +351,12 @@
     }
 
 private:
-    static serving::StartRun run(const HttpRequest &request)
+    static serving::StartRun startRun(const HttpRequest &request)
     {
         serving::StartRun start;
         start.instance = InstanceName{"engine-1"};
         start.deadline = std::chrono::milliseconds{1500};
-        start.request = std::make_shared<const serving::CallerRequest>(*platform::readRequest(CallId{1}, request));
+        start.request = std::make_shared<const serving::CallerRequest>(*platform::decodeRequest(CallId{1}, request));
         return start;
     }
 };
