--- a/test/platform/endtoend.cpp
+++ b/test/platform/endtoend.cpp
@@ -1,6 +1,6 @@
 #include "fakes.h"
 #include "platformcodec.h"
-#include "platformfeed.h"
+#include "storefeed.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -285,7 +285,7 @@
         FakePlatformEndpoint engineEndpoint{loop, "engine-1"};
         FakePlatformEndpoint stageEndpoint{loop, "encoder-1"};
         ServingApp app{loop, clock, settings(), platform::servingCodec(), Incarnation{1}};
-        platform::PlatformFeed feed{loop, app, store.address()};
+        platform::StoreFeed feed{loop, app, store.address()};
         HttpClient caller{loop, HttpClientOptions{}};
     };
 
--- a/test/platform/storewatch.cpp
+++ b/test/platform/storewatch.cpp
@@ -21,19 +21,19 @@
 
 namespace {
 
-/*! @brief A process that keeps up with the store, by itself or through others, and answers those that follow it. */
-class Reader
+/*! @brief A process that watches the store, directly or through relays, and relays changes to its followers. */
+class StoreProcess
 {
 public:
-    Reader(Loop &loop, const std::string &store)
+    StoreProcess(Loop &loop, const std::string &store)
         : m_client{loop, HttpClientOptions{}}
         , m_watch{loop, m_client, StoreWatchOptions{store, {}, std::chrono::milliseconds{1500}, {}, "/changes"},
                   hooks()}
         , m_relay{loop, m_watch}
         , m_server{loop, options(),
                    [this](const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder) {
-                       ++m_asked;
-                       m_relay.ask(request.query, responder);
+                       ++m_followerRequestCount;
+                       m_relay.handleRequest(request.query, responder);
                    }}
     {
         static_cast<void>(m_server.listen());
@@ -44,9 +44,9 @@
         m_watch.start();
     }
 
-    void followThrough(std::vector<std::string> readers)
+    void setRelays(std::vector<std::string> relays)
     {
-        m_readers = std::move(readers);
+        m_relays = std::move(relays);
     }
 
     [[nodiscard]] std::string address() const
@@ -60,15 +60,15 @@
         return found == m_values.end() ? std::string{} : found->second;
     }
 
-    [[nodiscard]] bool isLost() const
+    [[nodiscard]] bool isUnavailable() const
     {
-        return m_watch.isLost();
+        return m_watch.isUnavailable();
     }
 
-    /*! @brief Returns the number of questions of followers. */
-    [[nodiscard]] std::size_t asked() const noexcept
+    /*! @brief Returns the number of requests from followers. */
+    [[nodiscard]] std::size_t followerRequestCount() const noexcept
     {
-        return m_asked;
+        return m_followerRequestCount;
     }
 
 private:
@@ -77,33 +77,33 @@
         StoreWatchHooks out;
         out.listed = [this](const std::vector<StoreItem> &items) {
             m_values.clear();
-            take(items);
+            applyItems(items);
         };
         out.changed = [this](const std::vector<StoreItem> &items) {
-            take(items);
+            applyItems(items);
         };
-        out.lost = [this](const std::string &) {
-            m_relay.flush();
+        out.unavailable = [this](const std::string &) {
+            m_relay.notifyFollowers();
         };
-        out.regained = [] {
+        out.available = [] {
         };
         out.caughtUp = [](std::uint64_t, const StorePage &) {
         };
-        out.readers = [this] {
-            return m_readers;
+        out.relays = [this] {
+            return m_relays;
         };
-        out.isFollowed = [this] {
-            return m_relay.isFollowed();
+        out.hasFollowers = [this] {
+            return m_relay.hasFollowers();
         };
         return out;
     }
 
-    void take(const std::vector<StoreItem> &items)
+    void applyItems(const std::vector<StoreItem> &items)
     {
         for (const StoreItem &item : items) {
             m_values[item.key] = item.value;
         }
-        m_relay.flush();
+        m_relay.notifyFollowers();
     }
 
     static HttpServerOptions options()
@@ -114,8 +114,8 @@
     }
 
     std::map<std::string, std::string> m_values;
-    std::vector<std::string> m_readers;
-    std::size_t m_asked{};
+    std::vector<std::string> m_relays;
+    std::size_t m_followerRequestCount{};
     HttpClient m_client;
     StoreWatch m_watch;
     StoreRelay m_relay;
@@ -124,38 +124,38 @@
 
 } // namespace
 
-/*! @brief How a few processes read the store for many, and what becomes of those when readers or the store are lost. */
+/*! @brief Watching the store directly and through relays, failover between them, and the change log. */
 class StoreWatchTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(StoreWatchTest);
-    CPPUNIT_TEST(followersCauseNoCallsToTheStore);
-    CPPUNIT_TEST(followerHearsOfChangesThroughItsReader);
-    CPPUNIT_TEST(followerOfALostReaderTurnsToTheNext);
-    CPPUNIT_TEST(followerWithoutReadersWatchesTheStore);
-    CPPUNIT_TEST(followerOfAReaderThatCannotReadTurnsToTheStore);
-    CPPUNIT_TEST(largeValueComesFromTheStore);
-    CPPUNIT_TEST(oldListIsBroughtUpToDateBeforeItIsUsed);
-    CPPUNIT_TEST(pagesOfDifferentAgeAreBroughtUpToDate);
-    CPPUNIT_TEST(listOlderThanTheHistoryIsReadAnew);
-    CPPUNIT_TEST(logTellsChangesOnce);
-    CPPUNIT_TEST(logTellsOfWhatANewListLacks);
-    CPPUNIT_TEST(logThatDoesNotReachBackSaysSo);
+    CPPUNIT_TEST(followersSendNoRequestsToTheStore);
+    CPPUNIT_TEST(followerReceivesChangesFromItsRelay);
+    CPPUNIT_TEST(followerFailsOverToTheNextRelay);
+    CPPUNIT_TEST(followerWithoutReachableRelayWatchesTheStore);
+    CPPUNIT_TEST(followerOfARelayWithoutStoreWatchesTheStore);
+    CPPUNIT_TEST(largeValueIsReadFromTheStore);
+    CPPUNIT_TEST(staleListIsUpdatedBeforeUse);
+    CPPUNIT_TEST(listPagesOfDifferentRevisionsAreUpdated);
+    CPPUNIT_TEST(listOlderThanTheHistoryIsReadAgain);
+    CPPUNIT_TEST(logReturnsEachChangeOnce);
+    CPPUNIT_TEST(logRecordsDifferencesToANewList);
+    CPPUNIT_TEST(logReportsDiscardedHistory);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void followersCauseNoCallsToTheStore()
+    void followersSendNoRequestsToTheStore()
     {
         m_store.publish("servers/a", "1");
-        std::vector<std::unique_ptr<Reader>> followers;
-        m_reader.start();
-        runUntil([this] { return m_reader.value("servers/a") == "1"; });
+        std::vector<std::unique_ptr<StoreProcess>> followers;
+        m_relayProcess.start();
+        runUntil([this] { return m_relayProcess.value("servers/a") == "1"; });
         for (int number = 0; number < 20; ++number) {
-            followers.push_back(std::make_unique<Reader>(m_loop, m_store.address()));
-            followers.back()->followThrough({m_reader.address()});
+            followers.push_back(std::make_unique<StoreProcess>(m_loop, m_store.address()));
+            followers.back()->setRelays({m_relayProcess.address()});
             followers.back()->start();
         }
-        runUntil([this] { return m_reader.asked() >= 20; });
-        // Each has listed once, an old list and the watch behind it; from now on they ask their reader.
+        runUntil([this] { return m_relayProcess.followerRequestCount() >= 20; });
+        // Each follower has sent a list and a catch-up watch; from now on it sends requests to its relay only.
         const std::size_t requestCount = m_store.requestCount();
         m_store.publish("servers/a", "2");
         runUntil([&followers] {
@@ -164,102 +164,104 @@
         CPPUNIT_ASSERT(m_store.requestCount() <= requestCount + 3);
     }
 
-    void followerHearsOfChangesThroughItsReader()
+    void followerReceivesChangesFromItsRelay()
     {
-        startBoth();
+        startRelayAndFollower();
         m_store.publish("servers/a", "1");
         m_store.publish("servers/b", "2");
-        runUntil([this] { return m_follower.value("servers/a") == "1" && m_follower.value("servers/b") == "2"; });
-        CPPUNIT_ASSERT(m_reader.asked() > 0);
+        runUntil([this] {
+            return m_followerProcess.value("servers/a") == "1" && m_followerProcess.value("servers/b") == "2";
+        });
+        CPPUNIT_ASSERT(m_relayProcess.followerRequestCount() > 0);
     }
 
-    void followerOfALostReaderTurnsToTheNext()
+    void followerFailsOverToTheNextRelay()
     {
-        auto lost = std::make_unique<Reader>(m_loop, m_store.address());
-        lost->start();
-        m_reader.start();
-        m_follower.followThrough({lost->address(), m_reader.address()});
-        m_follower.start();
-        runUntil([&lost] { return lost->asked() > 0; });
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_reader.asked());
-        lost.reset();
-        runUntil([this] { return m_reader.asked() > 0; });
+        auto firstRelay = std::make_unique<StoreProcess>(m_loop, m_store.address());
+        firstRelay->start();
+        m_relayProcess.start();
+        m_followerProcess.setRelays({firstRelay->address(), m_relayProcess.address()});
+        m_followerProcess.start();
+        runUntil([&firstRelay] { return firstRelay->followerRequestCount() > 0; });
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_relayProcess.followerRequestCount());
+        firstRelay.reset();
+        runUntil([this] { return m_relayProcess.followerRequestCount() > 0; });
         m_store.publish("servers/a", "1");
-        runUntil([this] { return m_follower.value("servers/a") == "1"; });
-        CPPUNIT_ASSERT(!m_follower.isLost());
+        runUntil([this] { return m_followerProcess.value("servers/a") == "1"; });
+        CPPUNIT_ASSERT(!m_followerProcess.isUnavailable());
     }
 
-    void followerWithoutReadersWatchesTheStore()
+    void followerWithoutReachableRelayWatchesTheStore()
     {
-        m_follower.followThrough({"127.0.0.1:1"});
-        m_follower.start();
-        runUntil([this] { return !m_follower.isLost(); });
+        m_followerProcess.setRelays({"127.0.0.1:1"});
+        m_followerProcess.start();
+        runUntil([this] { return !m_followerProcess.isUnavailable(); });
         m_store.publish("servers/a", "1");
-        runUntil([this] { return m_follower.value("servers/a") == "1"; });
+        runUntil([this] { return m_followerProcess.value("servers/a") == "1"; });
     }
 
-    void followerOfAReaderThatCannotReadTurnsToTheStore()
+    void followerOfARelayWithoutStoreWatchesTheStore()
     {
-        Reader blind{m_loop, "127.0.0.1:1"};
-        blind.start();
-        m_follower.followThrough({blind.address()});
-        m_follower.start();
-        runUntil([&blind] { return blind.asked() > 0; });
+        StoreProcess relayWithoutStore{m_loop, "127.0.0.1:1"};
+        relayWithoutStore.start();
+        m_followerProcess.setRelays({relayWithoutStore.address()});
+        m_followerProcess.start();
+        runUntil([&relayWithoutStore] { return relayWithoutStore.followerRequestCount() > 0; });
         m_store.publish("servers/a", "1");
-        runUntil([this] { return m_follower.value("servers/a") == "1"; });
-        CPPUNIT_ASSERT(!m_follower.isLost());
+        runUntil([this] { return m_followerProcess.value("servers/a") == "1"; });
+        CPPUNIT_ASSERT(!m_followerProcess.isUnavailable());
     }
 
-    void largeValueComesFromTheStore()
+    void largeValueIsReadFromTheStore()
     {
-        startBoth();
+        startRelayAndFollower();
         const std::string large(100'000, 'x');
         m_store.publish("op/config", large);
-        runUntil([this, &large] { return m_follower.value("op/config") == large; });
-        // The follower asks its reader again afterwards.
-        const std::size_t asked = m_reader.asked();
-        runUntil([this, asked] { return m_reader.asked() > asked; });
+        runUntil([this, &large] { return m_followerProcess.value("op/config") == large; });
+        // The follower returns to its relay afterwards.
+        const std::size_t followerRequestCount = m_relayProcess.followerRequestCount();
+        runUntil([this, followerRequestCount] { return m_relayProcess.followerRequestCount() > followerRequestCount; });
     }
 
-    void oldListIsBroughtUpToDateBeforeItIsUsed()
+    void staleListIsUpdatedBeforeUse()
     {
         m_store.publish("servers/a", "1");
         m_store.freezeStaleList();
         m_store.publish("servers/a", "2");
         m_store.publish("servers/b", "3");
-        m_reader.start();
-        runUntil([this] { return !m_reader.value("servers/a").empty(); });
-        CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_reader.value("servers/a"));
-        CPPUNIT_ASSERT_EQUAL(std::string{"3"}, m_reader.value("servers/b"));
+        m_relayProcess.start();
+        runUntil([this] { return !m_relayProcess.value("servers/a").empty(); });
+        CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_relayProcess.value("servers/a"));
+        CPPUNIT_ASSERT_EQUAL(std::string{"3"}, m_relayProcess.value("servers/b"));
     }
 
-    void pagesOfDifferentAgeAreBroughtUpToDate()
+    void listPagesOfDifferentRevisionsAreUpdated()
     {
         m_store.publish("servers/a", "1");
         m_store.publish("servers/b", "1");
         m_store.freezeStaleList();
         m_store.publish("servers/b", "2");
         m_store.publish("servers/a", "2");
-        // The first page is new, the second one old: what lies between is no news behind the first.
+        // The first page is current and the second stale, so a watch from the first page's revision misses changes.
         m_store.splitStaleListAfter("servers/a");
-        m_reader.start();
-        runUntil([this] { return !m_reader.value("servers/b").empty(); });
-        CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_reader.value("servers/a"));
-        CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_reader.value("servers/b"));
+        m_relayProcess.start();
+        runUntil([this] { return !m_relayProcess.value("servers/b").empty(); });
+        CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_relayProcess.value("servers/a"));
+        CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_relayProcess.value("servers/b"));
     }
 
-    void listOlderThanTheHistoryIsReadAnew()
+    void listOlderThanTheHistoryIsReadAgain()
     {
         m_store.publish("servers/a", "1");
         m_store.freezeStaleList();
         m_store.publish("servers/a", "2");
         m_store.discardHistory();
-        m_reader.start();
-        runUntil([this] { return !m_reader.value("servers/a").empty(); });
-        CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_reader.value("servers/a"));
+        m_relayProcess.start();
+        runUntil([this] { return !m_relayProcess.value("servers/a").empty(); });
+        CPPUNIT_ASSERT_EQUAL(std::string{"2"}, m_relayProcess.value("servers/a"));
     }
 
-    void logTellsChangesOnce()
+    void logReturnsEachChangeOnce()
     {
         ChangeLog log;
         log.replace({{"a", "1", 5}}, 7);
@@ -267,12 +269,12 @@
         log.apply({{"a", "2", 8}, {"b", "3", 9}}, 9);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, log.since(7)->size());
         CPPUNIT_ASSERT_EQUAL(std::string{"b"}, log.since(8)->front().key);
-        // What comes again is no news for those who know it.
+        // A repeated change is not returned to followers that have it.
         log.apply({{"b", "3", 9}}, 9);
         CPPUNIT_ASSERT(log.since(9)->empty());
     }
 
-    void logTellsOfWhatANewListLacks()
+    void logRecordsDifferencesToANewList()
     {
         ChangeLog log;
         log.replace({{"a", "1", 5}, {"b", "1", 6}}, 7);
@@ -284,12 +286,12 @@
         CPPUNIT_ASSERT(changes->back().isRemoved);
     }
 
-    void logThatDoesNotReachBackSaysSo()
+    void logReportsDiscardedHistory()
     {
         ChangeLog log;
         log.replace({}, 7);
         CPPUNIT_ASSERT(!log.since(6));
-        for (std::uint64_t revision = 8; revision < 8 + ChangeLog::mostChanges + 5; ++revision) {
+        for (std::uint64_t revision = 8; revision < 8 + ChangeLog::maxChanges + 5; ++revision) {
             log.apply({{"a", "1", revision}}, revision);
         }
         CPPUNIT_ASSERT(!log.since(8));
@@ -297,15 +299,15 @@
     }
 
 private:
-    void startBoth()
+    void startRelayAndFollower()
     {
-        m_reader.start();
-        m_follower.followThrough({m_reader.address()});
-        m_follower.start();
-        runUntil([this] { return !m_reader.isLost() && m_reader.asked() > 1; });
+        m_relayProcess.start();
+        m_followerProcess.setRelays({m_relayProcess.address()});
+        m_followerProcess.start();
+        runUntil([this] { return !m_relayProcess.isUnavailable() && m_relayProcess.followerRequestCount() > 1; });
     }
 
-    /*! @brief Runs the loop until something holds; gives up after far more rounds than it takes. */
+    /*! @brief Runs the loop until a condition holds; fails after a limited number of rounds. */
     void runUntil(const std::function<bool()> &condition)
     {
         constexpr int maxRounds = 2000;
@@ -318,8 +320,8 @@
     SystemClock m_clock;
     Loop m_loop{m_clock};
     FakeStore m_store{m_loop};
-    Reader m_reader{m_loop, m_store.address()};
-    Reader m_follower{m_loop, m_store.address()};
+    StoreProcess m_relayProcess{m_loop, m_store.address()};
+    StoreProcess m_followerProcess{m_loop, m_store.address()};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StoreWatchTest);
