--- a/src/bergamottide/entry/documentindex.h
+++ b/src/bergamottide/entry/documentindex.h
@@ -12,10 +12,9 @@
 namespace bergamottide {
 
 /**
- * @brief A document in force with the look-ups that every request needs.
+ * @brief Configuration document with indexes for the look-ups of the request path.
  *
- * Built once per version, so that a request costs two hash look-ups whatever the number
- * of workspaces, keys and bindings.
+ * Built once per document version; look-ups take constant time.
  */
 class DocumentIndex
 {
@@ -26,7 +25,6 @@
      */
     explicit DocumentIndex(std::shared_ptr<const Document> document);
 
-    /*! @brief Returns the document. */
     [[nodiscard]] const Document &document() const noexcept;
 
     /**
--- a/src/bergamottide/entry/entrycontext.h
+++ b/src/bergamottide/entry/entrycontext.h
@@ -3,7 +3,7 @@
 #include "bergamottide/admission/admission.h"
 #include "bergamottide/entry/entryreducer.h"
 #include "bergamottide/entry/hedging.h"
-#include "bergamottide/entry/peertable.h"
+#include "bergamottide/entry/peerstatetable.h"
 #include "bergamottide/entry/requesttable.h"
 #include "bergamottide/entry/timerqueue.h"
 #include "bergamottide/placement/ejector.h"
@@ -20,14 +20,14 @@
 namespace bergamottide {
 
 /**
- * @brief State that the parts of an entry share: tables, time and the effects of the present event.
+ * @brief State shared by the components of an entry: tables, time and the effects of the current event.
  *
- * The parts hold a reference each; one event is handled at a time.
+ * Each component holds a reference. Events are handled one at a time.
  */
 struct EntryContext
 {
-    explicit EntryContext(EntryIdentity who)
-        : identity{std::move(who)}
+    explicit EntryContext(EntryIdentity entryIdentity)
+        : identity{std::move(entryIdentity)}
         , table{identity.region, identity.zone}
         , placement{table, identity.seed}
         , admission{placement, table}
@@ -35,25 +35,25 @@
     {
     }
 
-    /*! @brief Limits in force; the defaults until there is a document. */
+    /*! @brief Returns the limits of the current document; the defaults if there is none. */
     [[nodiscard]] const Policy &policy() const noexcept
     {
         return index ? index->document().policy : defaultPolicy;
     }
 
-    /*! @brief Sends a message. */
+    /*! @brief Adds the effect that sends a message. */
     void send(const InstanceName &to, Message message)
     {
         effects.emplace_back(SendMessage{to, std::move(message)});
     }
 
-    /*! @brief Changes a metric. */
+    /*! @brief Adds the effect that updates a metric. */
     void observe(Metric metric, std::vector<std::string> labels, double value = 1.0)
     {
         effects.emplace_back(Observe{metric, std::move(labels), value});
     }
 
-    /*! @brief Writes a log line. */
+    /*! @brief Adds the effect that writes a log line. */
     void log(Severity severity, std::string text, std::vector<std::pair<std::string, std::string>> fields)
     {
         effects.emplace_back(LogLine{severity, Part::Entry, std::move(text), std::move(fields)});
@@ -65,24 +65,24 @@
     EntryEffects effects;
     std::shared_ptr<const DocumentIndex> index;
     std::shared_ptr<const InstanceView> view;
-    /*! @brief Entries in the view, this one included. */
-    std::size_t entries{1};
+    /*! @brief Number of entries in the instance view, at least one. */
+    std::size_t entryCount{1};
     EndpointTable table;
     Placement placement;
     Admission admission;
     Ejector ejector;
     ServiceEstimator estimator;
-    ShareBudget retries;
-    ShareBudget hedges;
+    ShareBudget retryBudget;
+    ShareBudget hedgeBudget;
     Hedging hedging;
     TimerQueue timers;
     RequestTable requests;
-    PeerTable peers;
+    PeerStateTable peers;
     bool draining{};
-    /*! @brief The process has woken from a pause, and nobody has answered it since. */
+    /*! @brief The process was suspended, and no sidecar has answered since; no run is started. */
     bool paused{};
-    /*! @brief Requests whose next stage waits for the end of the pause. */
-    std::vector<RequestId> held;
+    /*! @brief Requests whose next stage starts when `paused` ends. */
+    std::vector<RequestId> deferred;
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/entry/entryevents.h
+++ b/src/bergamottide/entry/entryevents.h
@@ -16,48 +16,49 @@
 
 namespace bergamottide {
 
-/*! @brief Event: a caller has submitted a request; its form was checked, its key and pipeline were not. */
+/*! @brief Event: a caller has submitted a request. Its syntax is valid; key and pipeline are not checked yet. */
 struct CallerSubmitted
 {
     CallId call{};
-    /*! @brief Drawn by the network layer, or derived from workspace and idempotency key. */
+    /*! @brief Random, or derived from workspace and idempotency key. */
     RequestId request;
     /*! @brief The identity was derived from an idempotency key. */
     bool keyed{};
     /*! @brief Lower case hexadecimal SHA-256 digest of the bearer key. */
     std::string keyDigest;
     PipelineName pipeline;
-    /*! @brief Empty for the ordinary kind (value 1, idempotent by the pipeline alone). */
+    /*! @brief Empty for the default kind: value 1, repeatable if the pipeline is. */
     KindName kind;
-    /*! @brief Absent: the kind's default. */
+    /*! @brief Absent for the default of the kind. */
     std::optional<Duration> deadline;
-    /*! @brief The caller marks the request as not to be repeated. */
+    /*! @brief The caller marks the request as not idempotent. */
     bool nonIdempotent{};
-    /*! @brief The caller wants a ticket even for a request that may be repeated. */
+    /*! @brief The caller requests a ticket even if the request is idempotent. */
     bool wantsTicket{};
     bool streaming{};
-    /*! @brief Tokens the caller wants at most; zero for the stage's own limit. */
+    /*! @brief Maximum number of tokens to generate; zero for the limit of the stage. */
     std::uint32_t maxTokens{};
+    /*! @brief Hash of the prompt's prefix; zero if unknown. */
     std::uint64_t prefix{};
     std::string body;
     /*! @brief Ticket of an earlier submission of the same request; absent for a new one. */
     std::optional<Ticket> ticket;
 };
 
-/*! @brief Event: a caller wants the answer to the request of a ticket. */
+/*! @brief Event: a caller requests the result of the request that a ticket identifies. */
 struct CallerFetched
 {
     CallId call{};
     std::string keyDigest;
     Ticket ticket;
-    /*! @brief Byte of the result from which to send. */
+    /*! @brief Offset in bytes from which the result is sent. */
     std::uint64_t offset{};
     bool streaming{};
-    /*! @brief How long the caller is ready to wait. */
+    /*! @brief Time for which the caller waits. */
     Duration deadline{};
 };
 
-/*! @brief Event: a caller wants its request to stop. */
+/*! @brief Event: a caller cancels the request that a ticket identifies. */
 struct CallerCanceled
 {
     CallId call{};
@@ -65,13 +66,13 @@
     Ticket ticket;
 };
 
-/*! @brief Event: a caller's connection has closed before its answer was whole. */
+/*! @brief Event: a caller has disconnected before its answer was complete. */
 struct CallerGone
 {
     CallId call{};
 };
 
-/*! @brief Event: a message has come from another process. */
+/*! @brief Event: a message from another process was received. */
 struct PeerMessage
 {
     InstanceName from;
@@ -90,7 +91,7 @@
     InstanceName peer;
 };
 
-/*! @brief Event: a validated document is in force from now on. */
+/*! @brief Event: a validated configuration document takes effect. */
 struct ConfigChanged
 {
     std::shared_ptr<const Document> document;
@@ -103,75 +104,76 @@
     std::shared_ptr<const InstanceView> view;
 };
 
-/*! @brief Event: the process shall finish what is in progress and leave. */
+/*! @brief Event: the process should finish the requests in progress and exit. */
 struct DrainRequested
 {
+    /*! @brief Cause for the audit trail. */
     std::string cause;
 };
 
-/*! @brief Event: the time asked for by `nextWakeup` has come, or a periodic tick. */
+/*! @brief Event: the time returned by `nextWakeup` has been reached, or periodic. */
 struct Tick
 {
 };
 
-/*! @brief Any event of an entry. */
+/*! @brief Event handled by an entry. */
 using EntryEvent = std::variant<CallerSubmitted, CallerFetched, CallerCanceled, CallerGone, PeerMessage, PeerUp,
                                 PeerDown, ConfigChanged, ViewChanged, DrainRequested, Tick>;
 
-/*! @brief Effect: a message goes to another process. */
+/*! @brief Effect: send a message to another process. */
 struct SendMessage
 {
     InstanceName to;
     Message message;
 };
 
-/*! @brief Effect: replace the stream to a peer by a new one; the present one has gone silent. */
+/*! @brief Effect: replace the stream to a peer, which has gone silent, by a new one. */
 struct ReopenStream
 {
     InstanceName peer;
 };
 
-/*! @brief Effect: tell the caller its ticket, before anything that must not be repeated is started. */
+/*! @brief Effect: send the caller its ticket, before a stage that must not be repeated is started. */
 struct CallerTicket
 {
     CallId call{};
     Ticket ticket;
 };
 
-/*! @brief Effect: a piece of the answer goes to a caller that wants it piece by piece. */
+/*! @brief Effect: send part of the result to a caller that streams it. */
 struct CallerPiece
 {
     CallId call{};
     std::string piece;
 };
 
-/*! @brief Effect: the final answer; the last effect for its call. */
+/*! @brief Effect: send the final answer; the last effect for its call. */
 struct CallerAnswer
 {
     CallId call{};
     RequestId request;
     Outcome outcome{};
     Reason reason{};
-    /*! @brief Field or header at fault, for bad input. */
+    /*! @brief Name of the invalid field; empty unless the input was invalid. */
     std::string field;
-    /*! @brief Time after which another try makes sense; zero for none. */
+    /*! @brief Time after which the caller may retry; zero if retrying is pointless. */
     Duration retryAfter{};
-    /*! @brief The whole result when not streaming, otherwise what is left of it. */
+    /*! @brief The result; when streaming, the part that was not sent yet. */
     std::string body;
     std::uint32_t tokens{};
     std::optional<Ticket> ticket;
 };
 
-/*! @brief Effect: the drain is over, the process may exit. */
+/*! @brief Effect: the drain is complete and the process may exit. */
 struct DrainComplete
 {
 };
 
-/*! @brief Any effect of an entry. */
+/*! @brief Effect produced by an entry. */
 using EntryEffect = std::variant<SendMessage, ReopenStream, CallerTicket, CallerPiece, CallerAnswer, DrainComplete,
                                  LogLine, AuditRecord, Observe>;
 
-/*! @brief Effects of one event, in the order in which they are carried out. */
+/*! @brief Effects of an event, in the order of their execution. */
 using EntryEffects = std::vector<EntryEffect>;
 
 } // namespace bergamottide
--- a/src/bergamottide/entry/entryreducer.cpp
+++ b/src/bergamottide/entry/entryreducer.cpp
@@ -1,11 +1,11 @@
 #include "bergamottide/entry/entryreducer.h"
 
-#include "bergamottide/entry/answers.h"
 #include "bergamottide/entry/entrycontext.h"
 #include "bergamottide/entry/fetches.h"
-#include "bergamottide/entry/homes.h"
+#include "bergamottide/entry/homeclient.h"
 #include "bergamottide/entry/intake.h"
 #include "bergamottide/entry/recovery.h"
+#include "bergamottide/entry/requestfinisher.h"
 #include "bergamottide/entry/runtracker.h"
 #include "bergamottide/entry/stagedriver.h"
 
@@ -14,18 +14,18 @@
 
 namespace bergamottide {
 
-/*! @brief The parts of an entry, and which of them handles which event. */
+/*! @brief Components of an entry; dispatches each event to the component that handles it. */
 struct EntryReducer::State
 {
     explicit State(EntryIdentity identity)
         : context{std::move(identity)}
-        , answers{context}
-        , driver{context, answers}
-        , runs{context, answers, driver}
-        , homes{context, answers, driver}
+        , finisher{context}
+        , driver{context, finisher}
+        , runs{context, finisher, driver}
+        , homeClient{context, finisher, driver}
         , fetches{context}
-        , recovery{context, runs, driver, homes, fetches}
-        , intake{context, answers, driver, homes, fetches}
+        , recovery{context, runs, driver, homeClient, fetches}
+        , intake{context, finisher, driver, homeClient, fetches}
     {
     }
 
@@ -51,31 +51,31 @@
     void handleMessage(const InstanceName &from, const Ping &message);
     void handleMessage(const InstanceName &from, const Pong &message);
 
-    /*! @brief Messages that an entry has no part in. */
+    /*! @brief Ignores messages that do not concern an entry. */
     template <typename Other>
     void handleMessage(const InstanceName &, const Other &)
     {
     }
 
-    [[nodiscard]] std::optional<TimePoint> wakeup() const;
+    [[nodiscard]] std::optional<TimePoint> computeWakeup() const;
     void detectPause();
     void expireTimers();
     void expire(const Timer &timer);
-    void review();
+    void reviewEndpoints();
     void checkDrained();
 
     EntryContext context;
-    Answers answers;
+    RequestFinisher finisher;
     StageDriver driver;
     RunTracker runs;
-    Homes homes;
+    HomeClient homeClient;
     Fetches fetches;
     Recovery recovery;
     Intake intake;
-    /*! @brief Next comparison of the endpoints with their peers; none before there is a view. */
+    /*! @brief Time of the next review of the endpoints; absent until there is an instance view. */
     std::optional<TimePoint> nextReview;
-    /*! @brief Time at which a tick was asked for after the last event. */
-    std::optional<TimePoint> asked;
+    /*! @brief Value of `nextWakeup` after the last event. */
+    std::optional<TimePoint> requestedWakeup;
     bool drained{};
 };
 
@@ -93,14 +93,14 @@
     state.detectPause();
     std::visit([&state](const auto &specific) { state.handle(specific); }, event);
     state.checkDrained();
-    state.context.requests.sweep();
-    state.asked = state.wakeup();
+    state.context.requests.deleteRemoved();
+    state.requestedWakeup = state.computeWakeup();
     return std::exchange(state.context.effects, {});
 }
 
 std::optional<TimePoint> EntryReducer::nextWakeup() const
 {
-    return m_state->asked;
+    return m_state->requestedWakeup;
 }
 
 std::size_t EntryReducer::inProgress() const noexcept
@@ -108,67 +108,67 @@
     return m_state->context.requests.size() + m_state->fetches.size();
 }
 
-std::optional<TimePoint> EntryReducer::State::wakeup() const
+std::optional<TimePoint> EntryReducer::State::computeWakeup() const
 {
     const auto timer = context.timers.next();
     if (!timer || !nextReview) {
         const auto due = timer ? timer : nextReview;
         return due ? std::optional{std::max(context.now, *due)} : due;
     }
-    // What is overdue is due now, so that one pause is noticed once.
+    // A time in the past would let `detectPause` report the same pause again.
     return std::max(context.now, std::min(*timer, *nextReview));
 }
 
-// Load: a process stopped past deadlines and leases, then woken. Harm prevented: runs started on a view that is long
-// out of date. Timers come first, so that what has expired is answered before anything else is done.
+// Detects that the process was suspended, since its view may be outdated. Expired requests are answered before the
+// event is handled.
 void EntryReducer::State::detectPause()
 {
-    if (!asked || context.now <= *asked + context.policy().pauseGap) {
+    if (!requestedWakeup || context.now <= *requestedWakeup + context.policy().pauseGap) {
         return;
     }
-    recovery.wokenUp();
+    recovery.handleWakeup();
     expireTimers();
 }
 
 void EntryReducer::State::handle(const CallerSubmitted &event)
 {
-    intake.submitted(event);
+    intake.handleSubmission(event);
 }
 
 void EntryReducer::State::handle(const CallerFetched &event)
 {
-    intake.fetched(event);
+    intake.handleFetch(event);
 }
 
 void EntryReducer::State::handle(const CallerCanceled &event)
 {
-    intake.canceled(event);
+    intake.handleCancel(event);
 }
 
 void EntryReducer::State::handle(const CallerGone &event)
 {
-    intake.gone(event);
+    intake.handleCallerGone(event);
 }
 
 void EntryReducer::State::handle(const PeerMessage &event)
 {
-    recovery.heard(event.from);
+    recovery.messageReceived(event.from);
     std::visit([this, &event](const auto &message) { handleMessage(event.from, message); }, event.message);
 }
 
 void EntryReducer::State::handleMessage(const InstanceName &from, const RunProgress &message)
 {
-    const bool fetched = fetches.progress(from, message);
-    if (!runs.progress(from, message) && !fetched) {
+    const bool fetched = fetches.handleProgress(from, message);
+    if (!runs.handleProgress(from, message) && !fetched) {
         context.observe(Metric::DroppedMessagesTotal, {"run_progress"});
     }
 }
 
 void EntryReducer::State::handleMessage(const InstanceName &from, const RunFinished &message)
 {
-    const bool fetched = fetches.finished(from, message);
-    if (!runs.finished(from, message) && !fetched) {
-        // The side repeats the end until it is acknowledged, also to an entry that has given the run up.
+    const bool fetched = fetches.handleFinished(from, message);
+    if (!runs.handleFinished(from, message) && !fetched) {
+        // The sidecar repeats the message until it is acknowledged, even if this entry has dropped the run.
         context.send(from, RunAcknowledged{message.run});
         context.observe(Metric::DroppedMessagesTotal, {"run_finished"});
     }
@@ -176,23 +176,23 @@
 
 void EntryReducer::State::handleMessage(const InstanceName &from, const RunStates &message)
 {
-    recovery.states(from, message);
+    recovery.handleRunStates(from, message);
 }
 
 void EntryReducer::State::handleMessage(const InstanceName &from, const RequestOpened &message)
 {
-    homes.opened(from, message);
+    homeClient.handleOpened(from, message);
 }
 
 void EntryReducer::State::handleMessage(const InstanceName &from, const OpenRefused &message)
 {
-    homes.refused(from, message);
+    homeClient.handleOpenRefused(from, message);
 }
 
 void EntryReducer::State::handleMessage(const InstanceName &from, const RequestState &message)
 {
-    fetches.state(from, message);
-    homes.state(from, message);
+    fetches.handleRequestState(from, message);
+    homeClient.handleRequestState(from, message);
 }
 
 void EntryReducer::State::handleMessage(const InstanceName &from, const LoadReport &message)
@@ -207,17 +207,17 @@
 
 void EntryReducer::State::handleMessage(const InstanceName &from, const Pong &message)
 {
-    recovery.pong(from, message);
+    recovery.handlePong(from, message);
 }
 
 void EntryReducer::State::handle(const PeerUp &event)
 {
-    recovery.peerUp(event.peer);
+    recovery.handlePeerUp(event.peer);
 }
 
 void EntryReducer::State::handle(const PeerDown &event)
 {
-    recovery.peerDown(event.peer);
+    recovery.handlePeerDown(event.peer);
 }
 
 void EntryReducer::State::handle(const ConfigChanged &event)
@@ -239,8 +239,8 @@
     const auto isEntry = [](const auto &named) {
         return named.second.role == Role::Entry;
     };
-    const auto entries = std::count_if(event.view->instances.begin(), event.view->instances.end(), isEntry);
-    context.entries = std::max<std::size_t>(1, static_cast<std::size_t>(entries));
+    const auto entryCount = std::count_if(event.view->instances.begin(), event.view->instances.end(), isEntry);
+    context.entryCount = std::max<std::size_t>(1, static_cast<std::size_t>(entryCount));
     if (!nextReview) {
         nextReview = context.now + context.policy().reportPeriod;
     }
@@ -259,7 +259,7 @@
 void EntryReducer::State::handle(const Tick &)
 {
     expireTimers();
-    review();
+    reviewEndpoints();
 }
 
 void EntryReducer::State::expireTimers()
@@ -272,7 +272,7 @@
 void EntryReducer::State::expire(const Timer &timer)
 {
     if (timer.kind == TimerKind::Fetch) {
-        fetches.timedOut(timer.number);
+        fetches.handleTimeout(timer.number);
         return;
     }
     if (timer.kind == TimerKind::Progress) {
@@ -284,26 +284,26 @@
         return;
     }
     if (timer.kind == TimerKind::Deadline && context.now >= request->deadline) {
-        answers.giveUp(*request, Reason::DeadlineExceeded, Duration::zero());
+        finisher.giveUp(*request, Reason::DeadlineExceeded, Duration::zero());
         return;
     }
     if (timer.kind == TimerKind::Home) {
-        homes.timedOut(*request, timer.number);
+        homeClient.handleTimeout(*request, timer.number);
         return;
     }
-    const bool present = !request->runs.empty() && request->runs.front().id.attempt == timer.number;
-    if (timer.kind == TimerKind::Hedge && request->stage == timer.stage && present) {
+    const bool isCurrent = !request->runs.empty() && request->runs.front().id.attempt == timer.number;
+    if (timer.kind == TimerKind::Hedge && request->stage == timer.stage && isCurrent) {
         driver.hedge(*request);
     }
 }
 
-void EntryReducer::State::review()
+void EntryReducer::State::reviewEndpoints()
 {
     if (!nextReview || context.now < *nextReview) {
         return;
     }
     nextReview = context.now + context.policy().reportPeriod;
-    recovery.review();
+    recovery.reopenUnconfirmedStreams();
     for (const EjectionChange &change : context.ejector.review(context.policy(), context.now)) {
         const AuditKind kind = change.ejected ? AuditKind::Ejection : AuditKind::Return;
         context.effects.emplace_back(AuditRecord{kind, change.endpoint.text(), change.cause, change.pool.text()});
--- a/src/bergamottide/entry/entryreducer.h
+++ b/src/bergamottide/entry/entryreducer.h
@@ -8,29 +8,28 @@
 
 namespace bergamottide {
 
-/*! @brief Who an entry is and how it behaves where that varies. */
+/*! @brief Identity of an entry and the seed of its random choices. */
 struct EntryIdentity
 {
     InstanceName instance;
     RegionName region;
     ZoneName zone;
     Incarnation incarnation{};
-    /*! @brief Seed of the random choices of placement. */
+    /*! @brief Seed of the random choices that placement makes. */
     std::uint64_t seed{};
 };
 
 /**
- * @brief All decisions of an entry: one function from events to effects.
+ * @brief Decision logic of an entry, the process that accepts callers' requests: maps events to effects.
  *
- * Knows no socket and no clock; time is passed in with every event. Events that arrive
- * late, twice or out of order are expected.
+ * Deterministic and free of I/O: time is passed in with every event. Events may arrive
+ * late, repeatedly or out of order.
  */
 class EntryReducer
 {
 public:
     /**
-     * @brief Creates an entry that refuses every request until it has a document and a view.
-     * @param identity Who the entry is.
+     * @brief Creates an entry that refuses requests until it has a configuration document and an instance view.
      */
     explicit EntryReducer(EntryIdentity identity);
     EntryReducer(const EntryReducer &) = delete;
@@ -39,16 +38,16 @@
 
     /**
      * @brief Applies one event.
-     * @param event What has happened.
-     * @param now Time at which it is handled, never before that of an earlier call.
-     * @return What is to be done, in order.
+     * @param event Event to apply.
+     * @param now Current time; must not decrease between calls.
+     * @return Effects to execute, in order.
      */
     [[nodiscard]] EntryEffects apply(const EntryEvent &event, TimePoint now);
 
-    /*! @brief Returns the time at which a `Tick` is due, if any. */
+    /*! @brief Returns the time at which a `Tick` event is due, if any. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
 
-    /*! @brief Returns the number of requests in progress. */
+    /*! @brief Returns the number of requests, fetches and cancellations in progress. */
     [[nodiscard]] std::size_t inProgress() const noexcept;
 
 private:
--- a/src/bergamottide/entry/fetches.cpp
+++ b/src/bergamottide/entry/fetches.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/*! @brief Doublings of the time between two questions at most. */
-constexpr std::uint32_t maxDoublings = 3;
-/*! @brief Time a cancellation waits for its home: a few round trips between regions and one new stream. */
-constexpr Duration cancelWait = std::chrono::seconds{1};
+/*! @brief Limit of the exponential backoff between queries. */
+constexpr std::uint32_t maxBackoffDoublings = 3;
+/*! @brief Timeout of a cancellation: allows for a new stream and some round trips between regions. */
+constexpr Duration cancelTimeout = std::chrono::seconds{1};
 
 } // namespace
 
@@ -36,7 +36,7 @@
     Fetch fetch{.call = canceled.call,
                 .ticket = canceled.ticket,
                 .canceling = true,
-                .deadline = m_context.now + cancelWait,
+                .deadline = m_context.now + cancelTimeout,
                 .result = ResultBuffer{m_context.policy().maxResultBytes}};
     add(std::move(fetch));
 }
@@ -45,24 +45,25 @@
 {
     const std::uint64_t number = m_nextNumber++;
     const auto added = m_fetches.emplace(number, std::move(fetch)).first;
-    ask(number, added->second);
+    sendQuery(number, added->second);
     m_context.timers.set({added->second.deadline, TimerKind::Fetch, {}, 0, number});
 }
 
-void Fetches::ask(std::uint64_t number, const Fetch &fetch)
+void Fetches::sendQuery(std::uint64_t number, const Fetch &fetch)
 {
     const Ticket &ticket = fetch.ticket;
     if (fetch.canceling) {
         m_context.send(ticket.home, SealRequest{ticket.request, ticket.incarnation, ticket.serial});
     } else {
-        const std::uint64_t offset = fetch.offset + fetch.result.contiguous();
+        const std::uint64_t offset = fetch.offset + fetch.result.contiguousBytes();
         m_context.send(ticket.home, AttachRequest{ticket.request, ticket.incarnation, ticket.serial, offset});
     }
-    const Duration delay = m_context.policy().progressTimeout * (1U << std::min(fetch.asked, maxDoublings));
+    const Duration delay =
+        m_context.policy().progressTimeout * (1U << std::min(fetch.unansweredQueries, maxBackoffDoublings));
     m_context.timers.set({m_context.now + delay, TimerKind::Fetch, {}, 0, number});
 }
 
-bool Fetches::callerGone(CallId call)
+bool Fetches::removeCall(CallId call)
 {
     const auto removed = std::erase_if(m_fetches, [call](const auto &entry) { return entry.second.call == call; });
     return removed > 0;
@@ -78,7 +79,7 @@
     return fetch.ticket.home == from && fetch.run == run;
 }
 
-bool Fetches::progress(const InstanceName &from, const RunProgress &message)
+bool Fetches::handleProgress(const InstanceName &from, const RunProgress &message)
 {
     bool wanted = false;
     for (auto &[number, fetch] : m_fetches) {
@@ -93,7 +94,7 @@
 
 void Fetches::addPiece(Fetch &fetch, const RunProgress &message)
 {
-    fetch.asked = 0;
+    fetch.unansweredQueries = 0;
     const std::uint64_t end = message.offset + message.piece.size();
     if (end <= fetch.offset) {
         return;
@@ -105,28 +106,28 @@
         return;
     }
     relay(fetch);
-    checkWhole(fetch);
+    checkComplete(fetch);
 }
 
-bool Fetches::finished(const InstanceName &from, const RunFinished &message)
+bool Fetches::handleFinished(const InstanceName &from, const RunFinished &message)
 {
     bool wanted = false;
     for (auto &[number, fetch] : m_fetches) {
         if (concerns(fetch, from, message.run)) {
             wanted = true;
-            end(fetch, message);
+            handleEnd(fetch, message);
         }
     }
     removeAnswered();
     return wanted;
 }
 
-void Fetches::end(Fetch &fetch, const RunFinished &message)
+void Fetches::handleEnd(Fetch &fetch, const RunFinished &message)
 {
     if (message.state == RunState::Completed) {
         fetch.finished = message;
         fetch.result.finish(message.length - std::min(message.length, fetch.offset), message.digest);
-        checkWhole(fetch);
+        checkComplete(fetch);
         return;
     }
     m_context.send(fetch.ticket.home, RunAcknowledged{message.run});
@@ -134,14 +135,14 @@
     answer(fetch, nothingRan ? Outcome::Incomplete : Outcome::Unknown, message.reason, message.retryAfter);
 }
 
-void Fetches::checkWhole(Fetch &fetch)
+void Fetches::checkComplete(Fetch &fetch)
 {
-    if (!fetch.finished || !fetch.result.whole()) {
+    if (!fetch.finished || !fetch.result.isComplete()) {
         return;
     }
     m_context.send(fetch.ticket.home, RunAcknowledged{fetch.finished->run});
-    // The digest covers the whole result; a caller that has the first part checks its own.
-    if (fetch.offset == 0 && !fetch.result.verified()) {
+    // The digest covers the whole result, so only a fetch from the start can be verified here.
+    if (fetch.offset == 0 && !fetch.result.isVerified()) {
         answer(fetch, Outcome::Unknown, Reason::Internal, Duration::zero());
         return;
     }
@@ -151,14 +152,14 @@
 void Fetches::relay(Fetch &fetch)
 {
     const std::string &bytes = fetch.result.bytes();
-    if (!fetch.streaming || bytes.size() <= fetch.relayed) {
+    if (!fetch.streaming || bytes.size() <= fetch.relayedBytes) {
         return;
     }
-    m_context.effects.emplace_back(CallerPiece{fetch.call, bytes.substr(fetch.relayed)});
-    fetch.relayed = bytes.size();
+    m_context.effects.emplace_back(CallerPiece{fetch.call, bytes.substr(fetch.relayedBytes)});
+    fetch.relayedBytes = bytes.size();
 }
 
-void Fetches::state(const InstanceName &from, const RequestState &message)
+void Fetches::handleRequestState(const InstanceName &from, const RequestState &message)
 {
     for (auto &[number, fetch] : m_fetches) {
         if (fetch.ticket.home == from && fetch.ticket.request == message.request) {
@@ -170,7 +171,7 @@
 
 void Fetches::applyState(Fetch &fetch, const RequestState &message)
 {
-    fetch.asked = 0;
+    fetch.unansweredQueries = 0;
     const Ticket &ticket = fetch.ticket;
     const bool same = message.incarnation == ticket.incarnation;
     if (message.state == LedgerState::Absent) {
@@ -185,7 +186,7 @@
         return;
     }
     if (fetch.canceling && message.state == LedgerState::Running) {
-        // Too late: it goes on, and its ticket still fetches the result.
+        // Too late to cancel: the run continues, and its result can be fetched with the ticket.
         answer(fetch, Outcome::Unknown, Reason::Canceled, m_context.policy().progressTimeout);
         return;
     }
@@ -195,7 +196,7 @@
     fetch.run = message.run;
 }
 
-void Fetches::timedOut(std::uint64_t number)
+void Fetches::handleTimeout(std::uint64_t number)
 {
     const auto found = m_fetches.find(number);
     if (found == m_fetches.end()) {
@@ -207,15 +208,15 @@
         removeAnswered();
         return;
     }
-    ++fetch.asked;
-    ask(number, fetch);
+    ++fetch.unansweredQueries;
+    sendQuery(number, fetch);
 }
 
-void Fetches::reconnected(const InstanceName &peer)
+void Fetches::handleReconnect(const InstanceName &peer)
 {
     for (const auto &[number, fetch] : m_fetches) {
         if (fetch.ticket.home == peer) {
-            ask(number, fetch);
+            sendQuery(number, fetch);
         }
     }
 }
@@ -233,7 +234,7 @@
     answer.retryAfter = retryAfter;
     answer.ticket = fetch.ticket;
     if (outcome == Outcome::Completed) {
-        answer.body = fetch.result.take().substr(fetch.relayed);
+        answer.body = fetch.result.take().substr(fetch.relayedBytes);
         answer.tokens = fetch.finished->tokens;
     }
     fetch.answered = true;
--- a/src/bergamottide/entry/fetches.h
+++ b/src/bergamottide/entry/fetches.h
@@ -10,74 +10,74 @@
 namespace bergamottide {
 
 /**
- * @brief Callers who come back with a ticket: to get the result, or to stop the request.
+ * @brief Fetches results and cancels requests for callers that present a ticket.
  *
- * Load: entries that die with answers on their way, callers who lose their connection.
- * Harm prevented: a result that exists and reaches nobody, and the second order of a
- * caller who could not learn what became of the first. Any entry serves any ticket, since
- * only the home knows the truth.
+ * A caller that has lost its connection or its entry can still get the result, instead of
+ * submitting the request again. Every entry serves every ticket by querying the home.
  */
 class Fetches
 {
 public:
-    /*! @brief Creates the part over the shared state. */
+    /*! @brief Creates the component; the context must outlive it. */
     explicit Fetches(EntryContext &context);
 
     /**
-     * @brief Starts to fetch the result of a request.
-     * @param fetched Event whose key and ticket were checked.
+     * @brief Starts fetching the result of a request.
+     * @param fetched Event with a valid key and ticket.
      */
     void fetch(const CallerFetched &fetched);
 
     /**
-     * @brief Asks the home never to start a request.
-     * @param canceled Event whose key and ticket were checked.
+     * @brief Requests that the home seals a request, so that its last stage never starts.
+     * @param canceled Event with a valid key and ticket.
      */
     void cancel(const CallerCanceled &canceled);
 
-    /*! @brief Forgets a caller; returns false if the call is none of these. */
-    bool callerGone(CallId call);
+    /*! @brief Drops the fetches of a disconnected caller; returns whether there was one. */
+    bool removeCall(CallId call);
 
-    /*! @brief Takes a piece; returns whether a caller waits for it. */
-    [[nodiscard]] bool progress(const InstanceName &from, const RunProgress &message);
-    /*! @brief Takes the end of a run; returns whether a caller waits for it. */
-    [[nodiscard]] bool finished(const InstanceName &from, const RunFinished &message);
-    /*! @brief Takes the state of a serial. */
-    void state(const InstanceName &from, const RequestState &message);
-    /*! @brief Asks again, or gives up at the caller's deadline. */
-    void timedOut(std::uint64_t number);
-    /*! @brief Asks again after the stream to a home has opened. */
-    void reconnected(const InstanceName &peer);
+    /*! @brief Handles a piece of a result; returns whether a caller waits for it. */
+    [[nodiscard]] bool handleProgress(const InstanceName &from, const RunProgress &message);
+    /*! @brief Handles the end of a run; returns whether a caller waits for it. */
+    [[nodiscard]] bool handleFinished(const InstanceName &from, const RunFinished &message);
+    /*! @brief Handles the state of a serial. */
+    void handleRequestState(const InstanceName &from, const RequestState &message);
+    /*! @brief Repeats the query of a fetch, or ends the fetch at the caller's deadline. */
+    void handleTimeout(std::uint64_t number);
+    /*! @brief Repeats the queries to a home after the stream to it has opened. */
+    void handleReconnect(const InstanceName &peer);
 
-    /*! @brief Returns the number of callers that wait. */
+    /*! @brief Returns the number of fetches and cancellations in progress. */
     [[nodiscard]] std::size_t size() const noexcept;
 
 private:
+    /*! @brief A caller that waits for the result of a request, or for its cancellation. */
     struct Fetch
     {
         CallId call{};
         Ticket ticket;
-        /*! @brief Byte of the result at which the caller's part begins. */
+        /*! @brief Offset in bytes from which the caller wants the result. */
         std::uint64_t offset{};
         bool streaming{};
-        /*! @brief The caller wants the request to stop. */
+        /*! @brief The caller cancels the request. */
         bool canceling{};
         TimePoint deadline{};
-        std::uint32_t asked{};
+        /*! @brief Queries to the home since its last answer. */
+        std::uint32_t unansweredQueries{};
         std::optional<RunId> run;
         std::optional<RunFinished> finished;
-        /*! @brief Result from `offset` on. */
+        /*! @brief Result from `offset` to its end. */
         ResultBuffer result;
-        std::uint64_t relayed{};
+        std::uint64_t relayedBytes{};
         bool answered{};
     };
 
     void add(Fetch fetch);
-    void ask(std::uint64_t number, const Fetch &fetch);
+    void sendQuery(std::uint64_t number, const Fetch &fetch);
     void relay(Fetch &fetch);
     void addPiece(Fetch &fetch, const RunProgress &message);
-    void end(Fetch &fetch, const RunFinished &message);
-    void checkWhole(Fetch &fetch);
+    void handleEnd(Fetch &fetch, const RunFinished &message);
+    void checkComplete(Fetch &fetch);
     void applyState(Fetch &fetch, const RequestState &message);
     void answer(Fetch &fetch, Outcome outcome, Reason reason, Duration retryAfter);
     void removeAnswered();
--- a/src/bergamottide/entry/hedging.h
+++ b/src/bergamottide/entry/hedging.h
@@ -12,21 +12,19 @@
 namespace bergamottide {
 
 /**
- * @brief Tells after which time a repeatable run has become an outlier worth a second one.
+ * @brief Estimates after which time a repeatable run should be hedged with a second one.
  *
- * Load: a run that hangs at one endpoint while its like are done elsewhere. Harm
- * prevented: the tail of each stage, which a request meets once per stage, so that the
- * slowest of all its stages decides. Only the slowest share of runs, beyond
- * `hedgeQuantile`, is run twice; under `hedgeBudget`, so that a general slowdown, in
- * which every run looks like an outlier, doubles nothing.
+ * Hedging reduces the tail latency of each stage. The delay is a quantile of recent
+ * durations relative to their estimates, so that only the slowest runs are hedged.
+ * `hedgeBudget` bounds the extra load when all runs become slow.
  */
 class Hedging
 {
 public:
     /**
-     * @brief Learns how long a run took in all.
-     * @param cost Service time that was estimated.
-     * @param elapsed Time from dispatch to the whole result.
+     * @brief Records the duration of a completed run.
+     * @param cost Estimated service time.
+     * @param elapsed Time from dispatch to the complete result.
      */
     void learn(const PipelineName &pipeline, const StageName &stage, Duration cost, Duration elapsed)
     {
@@ -34,10 +32,10 @@
     }
 
     /**
-     * @brief Tells when a run should be hedged.
+     * @brief Returns the delay after which a run should be hedged.
      * @param cost Estimated service time.
-     * @param quantile Share of runs that end earlier, from 0.5 to 1.
-     * @return Time since dispatch, or nothing while too little is known.
+     * @param quantile Fraction of runs that complete within the delay, from 0.5 to 1.
+     * @return Time since dispatch; absent if there are too few samples.
      */
     [[nodiscard]] std::optional<Duration> delay(const PipelineName &pipeline, const StageName &stage, Duration cost,
                                                 double quantile) const
--- a/src/bergamottide/entry/intake.cpp
+++ b/src/bergamottide/entry/intake.cpp
@@ -7,16 +7,17 @@
 
 namespace bergamottide {
 
-Intake::Intake(EntryContext &context, Answers &answers, StageDriver &driver, Homes &homes, Fetches &fetches)
+Intake::Intake(EntryContext &context, RequestFinisher &finisher, StageDriver &driver, HomeClient &homeClient,
+               Fetches &fetches)
     : m_context{context}
-    , m_answers{answers}
+    , m_finisher{finisher}
     , m_driver{driver}
-    , m_homes{homes}
+    , m_homeClient{homeClient}
     , m_fetches{fetches}
 {
 }
 
-Reason Intake::reasonToRefuseAll() const
+Reason Intake::refusalReason() const
 {
     if (!m_context.index || !m_context.view) {
         return Reason::StaleView;
@@ -27,39 +28,39 @@
     return m_context.paused ? Reason::Paused : Reason::None;
 }
 
-void Intake::submitted(const CallerSubmitted &event)
+void Intake::handleSubmission(const CallerSubmitted &event)
 {
     if (!m_context.index) {
-        m_answers.refuse(event.call, event.request, outcomeOfRefusal(event, true), Reason::StaleView, {},
-                         m_context.policy().ejectionTime);
+        m_finisher.refuse(event.call, event.request, outcomeOfRefusal(event, true), Reason::StaleView, {},
+                          m_context.policy().ejectionTime);
         return;
     }
     const auto checked = checkRequest(*m_context.index, event);
     if (!checked.ok()) {
-        m_answers.refuse(event.call, event.request, Outcome::NotRun, errorReason(checked.status()),
-                         errorField(checked.status()), Duration::zero());
+        m_finisher.refuse(event.call, event.request, Outcome::NotRun, errorReason(checked.status()),
+                          errorField(checked.status()), Duration::zero());
         return;
     }
-    const Reason reason = reasonToRefuseAll();
+    const Reason reason = refusalReason();
     if (reason != Reason::None) {
-        m_answers.refuse(event.call, event.request, outcomeOfRefusal(event, checked->atMostOnce), reason, {},
-                         m_context.policy().reportPeriod);
+        m_finisher.refuse(event.call, event.request, outcomeOfRefusal(event, checked->atMostOnce), reason, {},
+                          m_context.policy().reportPeriod);
         return;
     }
     const RequestId id = event.ticket ? event.ticket->request : event.request;
     if (m_context.requests.find(id)) {
-        alreadyInProgress(event, *checked);
+        joinInProgress(event, *checked);
         return;
     }
     start(event, *checked);
 }
 
-// The caller who shows the ticket waits for the request that is in progress; any other gets no part in it.
-void Intake::alreadyInProgress(const CallerSubmitted &event, const CheckedRequest &checked)
+// Only a caller with the ticket may wait for the result of the request in progress.
+void Intake::joinInProgress(const CallerSubmitted &event, const CheckedRequest &checked)
 {
     if (!event.ticket) {
-        m_answers.refuse(event.call, event.request, Outcome::Unknown, Reason::DuplicateRequest, "request",
-                         m_context.policy().reportPeriod);
+        m_finisher.refuse(event.call, event.request, Outcome::Unknown, Reason::DuplicateRequest, "request",
+                          m_context.policy().reportPeriod);
         return;
     }
     m_fetches.fetch({event.call, event.keyDigest, *event.ticket, 0, event.streaming, checked.deadline});
@@ -92,13 +93,13 @@
     const AdmissionQuery query{*checked.workspace, *checked.pipeline, checked.binding->model, request.kind,
                                request.prefix,     request.costs,     checked.deadline};
     const AdmissionDecision decision =
-        m_context.admission.judge(query, m_context.policy(), m_context.entries, m_context.now);
+        m_context.admission.judge(query, m_context.policy(), m_context.entryCount, m_context.now);
     if (decision.reason == Reason::None) {
         m_context.admission.admitted(query);
         return true;
     }
-    m_answers.refuse(event.call, request.id, outcomeOfRefusal(event, checked.atMostOnce), decision.reason, {},
-                     decision.retryAfter);
+    m_finisher.refuse(event.call, request.id, outcomeOfRefusal(event, checked.atMostOnce), decision.reason, {},
+                      decision.retryAfter);
     return false;
 }
 
@@ -111,11 +112,11 @@
     Request &request = m_context.requests.add(std::move(made));
     m_context.timers.set({request.deadline, TimerKind::Deadline, request.id, 0, 0});
     if (event.ticket) {
-        m_homes.resume(request, *event.ticket);
+        m_homeClient.resume(request, *event.ticket);
         return;
     }
-    if (checked.opened) {
-        m_homes.open(request);
+    if (checked.needsHome) {
+        m_homeClient.open(request);
         return;
     }
     m_driver.start(request);
@@ -123,7 +124,7 @@
 
 bool Intake::checkTicketHolder(CallId call, const std::string &keyDigest, const Ticket &ticket)
 {
-    absl::Status status = makeError(Reason::StaleView, {}, "There is no document yet.");
+    absl::Status status = makeError(Reason::StaleView, {}, "No configuration document has been loaded yet.");
     if (m_context.index) {
         const auto workspace = checkKey(*m_context.index, keyDigest);
         status = workspace.ok() ? checkTicket(**workspace, ticket) : workspace.status();
@@ -131,24 +132,25 @@
     if (status.ok()) {
         return true;
     }
-    m_answers.refuse(call, ticket.request, Outcome::Unknown, errorReason(status), errorField(status), Duration::zero());
+    m_finisher.refuse(call, ticket.request, Outcome::Unknown, errorReason(status), errorField(status),
+                      Duration::zero());
     return false;
 }
 
-void Intake::fetched(const CallerFetched &event)
+void Intake::handleFetch(const CallerFetched &event)
 {
     if (!checkTicketHolder(event.call, event.keyDigest, event.ticket)) {
         return;
     }
     if (m_context.draining) {
-        m_answers.refuse(event.call, event.ticket.request, Outcome::Unknown, Reason::Draining, {},
-                         m_context.policy().reportPeriod);
+        m_finisher.refuse(event.call, event.ticket.request, Outcome::Unknown, Reason::Draining, {},
+                          m_context.policy().reportPeriod);
         return;
     }
     m_fetches.fetch(event);
 }
 
-void Intake::canceled(const CallerCanceled &event)
+void Intake::handleCancel(const CallerCanceled &event)
 {
     if (!checkTicketHolder(event.call, event.keyDigest, event.ticket)) {
         return;
@@ -156,24 +158,24 @@
     m_fetches.cancel(event);
     Request *request = m_context.requests.find(event.ticket.request);
     if (request && request->home && request->home->serial == event.ticket.serial) {
-        m_answers.giveUp(*request, Reason::Canceled, Duration::zero());
+        m_finisher.giveUp(*request, Reason::Canceled, Duration::zero());
     }
 }
 
-// What may be repeated is stopped, since nobody would get its result. A request opened at a home goes on: its result
-// stays there for whoever shows the ticket.
-void Intake::gone(const CallerGone &event)
+// A request without a ticket is stopped, since its result cannot be fetched later. A request opened at a home
+// continues; its result can be fetched with the ticket.
+void Intake::handleCallerGone(const CallerGone &event)
 {
-    if (m_fetches.callerGone(event.call)) {
+    if (m_fetches.removeCall(event.call)) {
         return;
     }
-    Request *request = m_context.requests.findCall(event.call);
+    Request *request = m_context.requests.findByCall(event.call);
     if (!request) {
         return;
     }
     request->callerWaits = false;
     if (!request->home || request->home->serial == noSerial) {
-        m_answers.finish(*request, Reason::CallerGone, Duration::zero());
+        m_finisher.finish(*request, Reason::CallerGone, Duration::zero());
     }
 }
 
--- a/src/bergamottide/entry/intake.h
+++ b/src/bergamottide/entry/intake.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "bergamottide/entry/answers.h"
 #include "bergamottide/entry/entrycontext.h"
 #include "bergamottide/entry/fetches.h"
-#include "bergamottide/entry/homes.h"
+#include "bergamottide/entry/homeclient.h"
 #include "bergamottide/entry/requestcheck.h"
+#include "bergamottide/entry/requestfinisher.h"
 #include "bergamottide/entry/stagedriver.h"
 
 #include <memory>
@@ -12,36 +12,37 @@
 namespace bergamottide {
 
 /**
- * @brief Takes what callers ask for: checks it, admits or refuses it at once, and starts it.
+ * @brief Handles the events of callers: validates and admits requests, or refuses them at once.
  */
 class Intake
 {
 public:
-    /*! @brief Creates the part over the shared state. */
-    Intake(EntryContext &context, Answers &answers, StageDriver &driver, Homes &homes, Fetches &fetches);
-
-    /*! @brief Takes a submission. */
-    void submitted(const CallerSubmitted &event);
-    /*! @brief Takes a caller who comes back for a result. */
-    void fetched(const CallerFetched &event);
-    /*! @brief Takes a caller who wants a request to stop. */
-    void canceled(const CallerCanceled &event);
-    /*! @brief Takes the end of a caller's connection. */
-    void gone(const CallerGone &event);
+    /*! @brief Creates the component; the references must outlive it. */
+    Intake(EntryContext &context, RequestFinisher &finisher, StageDriver &driver, HomeClient &homeClient,
+           Fetches &fetches);
+
+    /*! @brief Handles the submission of a request. */
+    void handleSubmission(const CallerSubmitted &event);
+    /*! @brief Handles a caller that fetches a result by its ticket. */
+    void handleFetch(const CallerFetched &event);
+    /*! @brief Handles a caller that cancels a request by its ticket. */
+    void handleCancel(const CallerCanceled &event);
+    /*! @brief Handles the disconnection of a caller. */
+    void handleCallerGone(const CallerGone &event);
 
 private:
-    [[nodiscard]] Reason reasonToRefuseAll() const;
+    [[nodiscard]] Reason refusalReason() const;
     [[nodiscard]] bool checkTicketHolder(CallId call, const std::string &keyDigest, const Ticket &ticket);
     [[nodiscard]] bool admit(const CallerSubmitted &event, const CheckedRequest &checked, Request &request);
     [[nodiscard]] std::unique_ptr<Request> makeRequest(const CallerSubmitted &event,
                                                        const CheckedRequest &checked) const;
     void start(const CallerSubmitted &event, const CheckedRequest &checked);
-    void alreadyInProgress(const CallerSubmitted &event, const CheckedRequest &checked);
+    void joinInProgress(const CallerSubmitted &event, const CheckedRequest &checked);
 
     EntryContext &m_context;
-    Answers &m_answers;
+    RequestFinisher &m_finisher;
     StageDriver &m_driver;
-    Homes &m_homes;
+    HomeClient &m_homeClient;
     Fetches &m_fetches;
 };
 
--- a/src/bergamottide/entry/outcomerule.cpp
+++ b/src/bergamottide/entry/outcomerule.cpp
@@ -4,13 +4,13 @@
 
 Outcome outcomeWithoutResult(const Request &request)
 {
-    // An identity derived from a key may have been submitted through another entry as well.
-    const bool nothingRan = request.unconfirmed == 0 && !request.keyed;
+    // A request with an idempotency key may also have been submitted through another entry.
+    const bool nothingRan = request.unconfirmedRuns == 0 && !request.keyed;
     const Outcome withoutEffect = nothingRan ? Outcome::NotRun : Outcome::Incomplete;
     const Outcome maybeWithEffect = request.atMostOnce ? Outcome::Unknown : Outcome::Incomplete;
     const bool serialKnown = request.home && request.home->serial != noSerial;
     if (!serialKnown) {
-        // Without a serial nobody can have started the last stage, unless another submission has one.
+        // The last stage cannot start without a serial, but an earlier submission of the same key may have one.
         return request.keyed ? maybeWithEffect : withoutEffect;
     }
     if (request.home->state != LedgerState::Sealed) {
--- a/src/bergamottide/entry/outcomerule.h
+++ b/src/bergamottide/entry/outcomerule.h
@@ -5,13 +5,11 @@
 namespace bergamottide {
 
 /**
- * @brief Says what became of a request that ends without its result.
+ * @brief Returns the outcome of a request that ends without a result.
  *
- * Load: requests that are refused, given up or cut off at any moment. Harm prevented: a
- * caller who is told that nothing happened sends the same order to somebody else; if that
- * is untrue, two trucks are loaded. So `not_run` needs proof: nothing was dispatched, or
- * every run was confirmed as never started. A request that was opened at a home may be
- * started by whoever holds its ticket; only the home's seal proves that nobody did.
+ * `NotRun` requires that nothing was dispatched or every run is confirmed as never started,
+ * because the caller may then submit the request elsewhere. For a request opened at a home
+ * it also requires a seal, since anybody with the ticket may start the last stage.
  *
  * @param request Request that ends.
  * @return `NotRun`, `Incomplete` or `Unknown`.
@@ -19,11 +17,11 @@
 [[nodiscard]] Outcome outcomeWithoutResult(const Request &request);
 
 /**
- * @brief Says what a refusal before anything was done for a submission may claim.
+ * @brief Returns the outcome of a submission that is refused before anything was dispatched for it.
  * @param submitted Submission.
- * @param atMostOnce The request has an effect that must not happen twice.
- * @return `NotRun`; but when an earlier submission of the same request, through any entry,
- *         may have run, `Unknown`, or `Incomplete` if it can have had no effect.
+ * @param atMostOnce The last stage must run at most once.
+ * @return `NotRun`. If an earlier submission of the same request may have run: `Unknown`, or
+ *         `Incomplete` if its last stage may be repeated.
  */
 [[nodiscard]] Outcome outcomeOfRefusal(const CallerSubmitted &submitted, bool atMostOnce);
 
--- a/src/bergamottide/entry/recovery.h
+++ b/src/bergamottide/entry/recovery.h
@@ -2,7 +2,7 @@
 
 #include "bergamottide/entry/entrycontext.h"
 #include "bergamottide/entry/fetches.h"
-#include "bergamottide/entry/homes.h"
+#include "bergamottide/entry/homeclient.h"
 #include "bergamottide/entry/runtracker.h"
 #include "bergamottide/entry/stagedriver.h"
 
@@ -12,53 +12,48 @@
 namespace bergamottide {
 
 /**
- * @brief Finds out what became of runs whose side was not heard of, and what a pause left behind.
+ * @brief Reconciles runs with sidecars that are silent or disconnected, and after a suspension of this process.
  *
- * Load: sides that die, streams that close, open streams that go silent for good while new
- * ones work, processes that wake up late. Harm prevented: callers who wait for a run that
- * nobody works on, and work done twice because an entry guessed. A run in progress gives a
- * sign of life every half of `progressTimeout`; after a whole one without any, the entry
- * asks its side for the state of all runs there (explicit reconciliation), on a new stream
- * if nothing at all has come over the old one. One question per side at a time, with
- * truncated exponential backoff, so that a dead side is not showered with streams.
+ * Sidecars report the progress of a run at least every half of `progressTimeout`. If
+ * nothing is received for `progressTimeout`, the entry queries the sidecar for the state
+ * of all its runs, on a new stream if the old one was silent altogether. Queries to a
+ * sidecar are limited by truncated exponential backoff.
  */
 class Recovery
 {
 public:
-    /*! @brief Creates the part over the shared state. */
-    Recovery(EntryContext &context, RunTracker &runs, StageDriver &driver, Homes &homes, Fetches &fetches);
+    /*! @brief Creates the component; the references must outlive it. */
+    Recovery(EntryContext &context, RunTracker &runs, StageDriver &driver, HomeClient &homeClient, Fetches &fetches);
 
-    /*! @brief Checks whether a run has gone silent. */
+    /*! @brief Handles a progress timer: acts if nothing was received about the run for `progressTimeout`. */
     void checkProgress(const Timer &timer);
-    /*! @brief Notes that anything was heard from a side. */
-    void heard(const InstanceName &from);
-    /*! @brief Takes the answer to a question. */
-    void states(const InstanceName &from, const RunStates &message);
-    /*! @brief Handles the opening of a stream. */
-    void peerUp(const InstanceName &peer);
-    /*! @brief Handles the closing of a stream. */
-    void peerDown(const InstanceName &peer);
-
-    /*! @brief Handles waking up from a pause: nothing is started until a side has answered. */
-    void wokenUp();
-    /*! @brief Takes the answer to a ping. */
-    void pong(const InstanceName &from, const Pong &message);
-    /*! @brief Asks sides that have not answered since the last wake-up once more; called periodically. */
-    void review();
+    /*! @brief Records that a message was received from a sidecar. */
+    void messageReceived(const InstanceName &from);
+    /*! @brief Handles the reply to a query for the states of runs. */
+    void handleRunStates(const InstanceName &from, const RunStates &message);
+    void handlePeerUp(const InstanceName &peer);
+    void handlePeerDown(const InstanceName &peer);
+
+    /*! @brief Handles that this process was suspended: no run is started until a sidecar has answered a ping. */
+    void handleWakeup();
+    /*! @brief Handles the reply to a ping. */
+    void handlePong(const InstanceName &from, const Pong &message);
+    /*! @brief Reopens the streams to sidecars that have not answered since the last wake-up; call it periodically. */
+    void reopenUnconfirmedStreams();
 
 private:
-    [[nodiscard]] std::vector<RequestId> requestsAt(const InstanceName &side);
-    void reconcile(const InstanceName &side);
-    void askAbout(const InstanceName &side);
-    void confirm(const InstanceName &side);
+    [[nodiscard]] std::vector<RequestId> requestsAt(const InstanceName &sidecar);
+    void reconcile(const InstanceName &sidecar);
+    void queryRuns(const InstanceName &sidecar);
+    void confirm(const InstanceName &sidecar);
 
     EntryContext &m_context;
     RunTracker &m_runs;
     StageDriver &m_driver;
-    Homes &m_homes;
+    HomeClient &m_homeClient;
     Fetches &m_fetches;
-    /*! @brief Number of the last wake-up; pings carry it. */
-    std::uint64_t m_wake{};
+    /*! @brief Number of the last wake-up; sequence of the pings sent then. */
+    std::uint64_t m_wakeupNumber{};
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/entry/request.h
+++ b/src/bergamottide/entry/request.h
@@ -12,71 +12,78 @@
 
 namespace bergamottide {
 
-/*! @brief One dispatched attempt at the present stage of a request. */
-struct Run
+/*! @brief One attempt at the current stage of a request, sent to a sidecar. */
+struct StageRun
 {
-    Run(RunId runId, InstanceName instance, EndpointNumber endpoint, std::size_t resultLimit)
+    StageRun(RunId runId, InstanceName instance, EndpointNumber number, std::size_t resultLimit)
         : id{runId}
-        , side{std::move(instance)}
-        , number{endpoint}
+        , sidecar{std::move(instance)}
+        , endpoint{number}
         , result{resultLimit}
     {
     }
 
     RunId id;
-    InstanceName side;
-    /*! @brief Number of the side's endpoint in the placement table. */
-    EndpointNumber number{};
+    InstanceName sidecar;
+    /*! @brief Number of the sidecar's endpoint in the placement table. */
+    EndpointNumber endpoint{};
     Serial serial{};
     /*! @brief Estimated service time at dispatch. */
     Duration cost{};
-    TimePoint dispatched{};
-    /*! @brief First sign that the endpoint has begun; absent while the run may still be queued. */
-    std::optional<TimePoint> started;
-    /*! @brief Last message about this run, or its dispatch. */
-    TimePoint heard{};
-    /*! @brief Questions about this run since it was last heard of. */
-    std::uint32_t asked{};
-    /*! @brief State of the stream to the side at dispatch, see `Peer::epoch`. */
-    std::uint32_t epoch{};
-    /*! @brief The run is the one trial of a half-open endpoint. */
+    TimePoint dispatchedAt{};
+    /*! @brief Time of the first report that the run has started; absent while it may still be queued. */
+    std::optional<TimePoint> startedAt;
+    /*! @brief Time of the last message about this run, or of its dispatch. */
+    TimePoint lastMessageAt{};
+    /*! @brief Queries about this run since the last message about it. */
+    std::uint32_t unansweredQueries{};
+    /*! @brief `PeerState::streamEpoch` of the sidecar at dispatch. */
+    std::uint32_t streamEpoch{};
+    /*! @brief The run is the trial run of a half-open endpoint. */
     bool trial{};
     ResultBuffer result;
-    /*! @brief The side's report of the end, while bytes of the result are still missing. */
+    /*! @brief Final report of the sidecar, kept while bytes of the result are missing. */
     std::optional<RunFinished> finished;
 };
 
-/*! @brief The side whose ledger decides whether the last stage of a request may start. */
+/**
+ * @brief Home of a request: the sidecar whose ledger allows the last stage to start at most once.
+ *
+ * The ledger issues a serial for the request; a run that carries the serial is the only
+ * way to start the last stage.
+ */
 struct Home
 {
-    InstanceName side;
+    InstanceName sidecar;
     Incarnation incarnation{};
-    /*! @brief Capability for the one run; `noSerial` until the home has answered. */
+    /*! @brief Serial that the only run of the last stage carries; `noSerial` until the home has answered. */
     Serial serial{};
     LedgerState state{};
-    /*! @brief Questions to this home that were not answered. */
-    std::uint32_t asked{};
-    /*! @brief Number of the timer in force; older ones are ignored. */
+    /*! @brief Queries to this home since its last answer. */
+    std::uint32_t unansweredQueries{};
+    /*! @brief Number of the newest timer; older ones are ignored. */
     std::uint32_t timer{};
-    /*! @brief The request may have been driven before, by another entry: stages may have run that this one did not. */
+    /*! @brief Another entry may have started stages of the request before. */
     bool resumed{};
-    /*! @brief The run of the serial was sent and not confirmed as never started. */
-    bool dispatched{};
-    /*! @brief A seal was asked for; its answer ends the request. */
-    bool sealing{};
+    /*! @brief The run with the serial was sent and is not confirmed as never started. */
+    bool runDispatched{};
+    /*! @brief A seal was requested; the answer ends the request. */
+    bool sealRequested{};
 };
 
-/*! @brief One request in progress at this entry. */
+/*! @brief A request in progress at this entry. */
 struct Request
 {
     CallId call{};
-    /*! @brief The caller's connection is open and has no final answer yet. */
+    /*! @brief The caller is connected and has not received the final answer. */
     bool callerWaits{true};
     RequestId id;
+    /*! @brief The identity was derived from an idempotency key. */
     bool keyed{};
     bool streaming{};
+    /*! @brief The last stage must run at most once. */
     bool atMostOnce{};
-    /*! @brief Keeps the document that the pointers below point into. */
+    /*! @brief Owns the document that the pointers below refer to. */
     std::shared_ptr<const DocumentIndex> index;
     const Workspace *workspace{};
     const Pipeline *pipeline{};
@@ -85,44 +92,47 @@
     TimePoint arrived{};
     TimePoint deadline{};
     std::uint32_t maxTokens{};
+    /*! @brief Hash of the prompt's prefix; zero if unknown. */
     std::uint64_t prefix{};
     std::string body;
+    /*! @brief Index of the current stage. */
     std::uint32_t stage{};
-    /*! @brief Whole result of the previous stage. */
-    std::string previous;
+    /*! @brief Result of the previous stage. */
+    std::string previousResult;
     /*! @brief Estimated service time of each stage. */
     std::vector<Duration> costs;
-    std::vector<Run> runs;
-    /*! @brief Number of the last attempt at the present stage. */
+    std::vector<StageRun> runs;
+    /*! @brief Number of the last attempt at the current stage. */
     std::uint32_t attempt{};
-    /*! @brief Attempts at the present stage that count against `maxAttempts`. */
-    std::uint32_t tries{};
-    /*! @brief Sides that failed or refused this stage; not asked again. */
+    /*! @brief Attempts at the current stage that count towards `maxAttempts`. */
+    std::uint32_t attemptsMade{};
+    /*! @brief Sidecars that failed or refused this stage; they are not chosen again. */
     std::vector<InstanceName> avoided;
-    /*! @brief Dispatched runs that were not confirmed as never started. */
-    std::uint32_t unconfirmed{};
+    /*! @brief Dispatched runs that are not confirmed as never started. */
+    std::uint32_t unconfirmedRuns{};
     std::optional<Home> home;
-    /*! @brief Endpoint time spent so far, by stage. */
-    std::vector<Duration> spent;
-    /*! @brief Bytes of the last stage's result that went to the caller. */
-    std::uint64_t relayed{};
+    /*! @brief Service time used so far, by stage. */
+    std::vector<Duration> serviceTimeSpent;
+    /*! @brief Bytes of the last stage's result that were sent to the caller. */
+    std::uint64_t relayedBytes{};
+    /*! @brief Tokens in the result of the last completed stage. */
     std::uint32_t tokens{};
     /*! @brief Homes tried so far. */
     std::uint32_t homesTried{};
-    /*! @brief First stage that was not yet dispatched, for the admission's count of pending work. */
-    std::uint32_t pendingFrom{};
-    /*! @brief Why the request was given up, while a seal is awaited. */
-    Reason givenUp{};
-    /*! @brief Time after which another try makes sense, while a seal is awaited. */
+    /*! @brief First stage that admission control still counts as pending. */
+    std::uint32_t firstPendingStage{};
+    /*! @brief Reason for giving the request up, while waiting for a seal. */
+    Reason giveUpReason{};
+    /*! @brief Time after which the caller may retry, while waiting for a seal. */
     Duration retryAfter{};
 
-    /*! @brief Tells if the present stage is the last one. */
+    /*! @brief Returns whether the current stage is the last one. */
     [[nodiscard]] bool atLastStage() const noexcept
     {
         return stage + 1 == pipeline->stages.size();
     }
 
-    /*! @brief Tells if the present stage may only run at the home. */
+    /*! @brief Returns whether the current stage may run only at the home. */
     [[nodiscard]] bool boundToHome() const noexcept
     {
         return home && atLastStage();
--- a/src/bergamottide/entry/requestcheck.cpp
+++ b/src/bergamottide/entry/requestcheck.cpp
@@ -9,7 +9,7 @@
 absl::Status checkBody(const Policy &policy, const CallerSubmitted &submitted)
 {
     if (submitted.body.size() > policy.maxBodyBytes) {
-        return makeError(Reason::BodyTooLarge, "body", "The body is above the limit.");
+        return makeError(Reason::BodyTooLarge, "body", "The body exceeds the size limit.");
     }
     return absl::OkStatus();
 }
@@ -18,9 +18,9 @@
 {
     const auto pipeline = index.document().pipelines.find(submitted.pipeline);
     checked.binding = index.binding(checked.workspace->name, submitted.pipeline);
-    // An unbound pipeline is told apart from an absent one to nobody: names are no business of other workspaces.
+    // An unbound pipeline is reported as unknown, so that its name is not revealed to other workspaces.
     if (pipeline == index.document().pipelines.end() || pipeline->second.stages.empty() || !checked.binding) {
-        return makeError(Reason::UnknownPipeline, "pipeline", "The workspace has no such pipeline.");
+        return makeError(Reason::UnknownPipeline, "pipeline", "The workspace has no pipeline of this name.");
     }
     checked.pipeline = &pipeline->second;
     return absl::OkStatus();
@@ -33,7 +33,7 @@
     }
     const auto kind = document.kinds.find(submitted.kind);
     if (kind == document.kinds.end()) {
-        return makeError(Reason::UnknownKind, "kind", "There is no such request kind.");
+        return makeError(Reason::UnknownKind, "kind", "The request kind does not exist.");
     }
     checked.kind = kind->second;
     return absl::OkStatus();
@@ -43,7 +43,7 @@
 {
     checked.deadline = submitted.deadline.value_or(checked.kind.deadline);
     if (checked.deadline <= Duration::zero() || checked.deadline > policy.maxDeadline) {
-        return makeError(Reason::InvalidDeadline, "deadline", "The deadline is zero, negative or above the limit.");
+        return makeError(Reason::InvalidDeadline, "deadline", "The deadline is not positive or exceeds the limit.");
     }
     return absl::OkStatus();
 }
@@ -53,11 +53,11 @@
 absl::StatusOr<const Workspace *> checkKey(const DocumentIndex &index, std::string_view keyDigest)
 {
     if (keyDigest.empty()) {
-        return makeError(Reason::MissingKey, "authorization", "The request carries no key.");
+        return makeError(Reason::MissingKey, "authorization", "The request has no bearer key.");
     }
     const Workspace *workspace = index.workspaceOf(keyDigest);
     if (!workspace) {
-        return makeError(Reason::WrongKey, "authorization", "The key belongs to no workspace.");
+        return makeError(Reason::WrongKey, "authorization", "The bearer key belongs to no workspace.");
     }
     return workspace;
 }
@@ -65,7 +65,7 @@
 absl::Status checkTicket(const Workspace &workspace, const Ticket &ticket)
 {
     if (ticket.workspace != workspace.name) {
-        return makeError(Reason::UnknownTicket, "ticket", "The workspace has no such ticket.");
+        return makeError(Reason::UnknownTicket, "ticket", "The ticket is unknown in this workspace.");
     }
     return absl::OkStatus();
 }
@@ -98,7 +98,7 @@
     }
     const bool repeatable = checked.pipeline->stages.back().repeatable == Repeatable::Yes;
     checked.atMostOnce = !repeatable || !checked.kind.idempotent || submitted.nonIdempotent;
-    checked.opened = checked.atMostOnce || submitted.wantsTicket || submitted.ticket.has_value();
+    checked.needsHome = checked.atMostOnce || submitted.wantsTicket || submitted.ticket.has_value();
     return checked;
 }
 
--- a/src/bergamottide/entry/requestcheck.h
+++ b/src/bergamottide/entry/requestcheck.h
@@ -7,7 +7,7 @@
 
 namespace bergamottide {
 
-/*! @brief A submission that the document allows; points into the document. */
+/*! @brief A submission that passed the checks; refers to the configuration document. */
 struct CheckedRequest
 {
     const Workspace *workspace{};
@@ -15,31 +15,31 @@
     const Binding *binding{};
     Kind kind;
     Duration deadline{};
-    /*! @brief The last stage has an effect that must not happen twice. */
+    /*! @brief The last stage must run at most once. */
     bool atMostOnce{};
-    /*! @brief The request is opened at a home before anything is started. */
-    bool opened{};
+    /*! @brief The request must be opened at a home before its first stage starts. */
+    bool needsHome{};
 };
 
 /**
  * @brief Finds the workspace of a caller.
- * @param index Document in force.
- * @param keyDigest Digest of the bearer key; empty if the caller sent none.
+ * @param index Current document.
+ * @param keyDigest Digest of the bearer key; empty if there is none.
  * @return The workspace, or `MissingKey` or `WrongKey` for field `authorization`.
  */
 [[nodiscard]] absl::StatusOr<const Workspace *> checkKey(const DocumentIndex &index, std::string_view keyDigest);
 
 /**
- * @brief Checks a ticket against the workspace that shows it.
- * @return Ok, or `UnknownTicket` for field `ticket`: another workspace's ticket is treated as an unknown one.
+ * @brief Checks that a ticket belongs to the workspace of its caller.
+ * @return Ok, or `UnknownTicket` for field `ticket`, which does not reveal that the ticket exists.
  */
 [[nodiscard]] absl::Status checkTicket(const Workspace &workspace, const Ticket &ticket);
 
 /**
- * @brief Checks a submission against the document, before anything is dispatched.
- * @param index Document in force.
- * @param submitted Submission whose form was checked.
- * @return What the document says about it, or a typed error that names the field at fault.
+ * @brief Checks a submission against the configuration document.
+ * @param index Current document.
+ * @param submitted Submission with valid syntax.
+ * @return The checked request, or an error that names the invalid field.
  */
 [[nodiscard]] absl::StatusOr<CheckedRequest> checkRequest(const DocumentIndex &index, const CallerSubmitted &submitted);
 
--- a/src/bergamottide/entry/answers.cpp
+++ b/src/bergamottide/entry/requestfinisher.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/entry/answers.h"
+#include "bergamottide/entry/requestfinisher.h"
 
 #include "bergamottide/entry/outcomerule.h"
 
@@ -10,12 +10,12 @@
 
 namespace {
 
-/*! @brief Label of requests that name no kind. */
-const char *const ordinaryKind = "default";
+/*! @brief Metric label of requests without a kind. */
+const char *const defaultKindLabel = "default";
 
 std::string kindLabel(const Request &request)
 {
-    return request.kind.name.empty() ? ordinaryKind : request.kind.name.text();
+    return request.kind.name.empty() ? defaultKindLabel : request.kind.name.text();
 }
 
 double seconds(Duration duration)
@@ -25,13 +25,13 @@
 
 } // namespace
 
-Answers::Answers(EntryContext &context)
+RequestFinisher::RequestFinisher(EntryContext &context)
     : m_context{context}
 {
 }
 
-void Answers::refuse(CallId call, const RequestId &request, Outcome outcome, Reason reason, std::string field,
-                     Duration retryAfter)
+void RequestFinisher::refuse(CallId call, const RequestId &request, Outcome outcome, Reason reason, std::string field,
+                             Duration retryAfter)
 {
     m_context.observe(Metric::RefusalsTotal, {std::string{enumName(reason)}});
     m_context.log(Severity::Info, "Request refused.",
@@ -48,66 +48,66 @@
     m_context.effects.emplace_back(std::move(answer));
 }
 
-std::optional<Ticket> Answers::ticketOf(const Request &request)
+std::optional<Ticket> RequestFinisher::ticketOf(const Request &request)
 {
     if (!request.home || request.home->serial == noSerial) {
         return std::nullopt;
     }
-    return Ticket{request.id, request.workspace->name, request.home->side, request.home->incarnation,
+    return Ticket{request.id, request.workspace->name, request.home->sidecar, request.home->incarnation,
                   request.home->serial};
 }
 
-void Answers::complete(Request &request, const std::string &result)
+void RequestFinisher::complete(Request &request, const std::string &result)
 {
     CallerAnswer answer;
     answer.outcome = Outcome::Completed;
-    answer.body = result.substr(std::min<std::size_t>(request.relayed, result.size()));
+    answer.body = result.substr(std::min<std::size_t>(request.relayedBytes, result.size()));
     answer.tokens = request.tokens;
     const bool onTime = m_context.now <= request.deadline;
     if (onTime) {
         m_context.observe(Metric::RequestsOnTimeTotal, {request.workspace->name.text(), kindLabel(request)});
     }
-    countSpent(request, onTime);
+    observeServiceTime(request, onTime);
     end(request, std::move(answer));
 }
 
-void Answers::giveUp(Request &request, Reason reason, Duration retryAfter)
+void RequestFinisher::giveUp(Request &request, Reason reason, Duration retryAfter)
 {
     if (!request.home || request.home->serial == noSerial || request.home->state == LedgerState::Sealed) {
         finish(request, reason, retryAfter);
         return;
     }
     Home &home = *request.home;
-    if (home.sealing) {
+    if (home.sealRequested) {
         return;
     }
-    home.sealing = true;
-    request.givenUp = reason;
+    home.sealRequested = true;
+    request.giveUpReason = reason;
     request.retryAfter = retryAfter;
-    m_context.send(home.side, SealRequest{request.id, home.incarnation, home.serial});
+    m_context.send(home.sidecar, SealRequest{request.id, home.incarnation, home.serial});
     m_context.timers.set(
         {m_context.now + m_context.policy().progressTimeout, TimerKind::Home, request.id, 0, ++home.timer});
 }
 
-void Answers::finish(Request &request, Reason reason, Duration retryAfter)
+void RequestFinisher::finish(Request &request, Reason reason, Duration retryAfter)
 {
     CallerAnswer answer;
     answer.outcome = outcomeWithoutResult(request);
     answer.reason = reason;
     answer.retryAfter = retryAfter;
-    countSpent(request, false);
+    observeServiceTime(request, false);
     m_context.observe(Metric::RefusalsTotal, {std::string{enumName(reason)}});
-    m_context.log(Severity::Info, "Request ended without its result.",
+    m_context.log(Severity::Info, "Request ended without a result.",
                   {{"request", request.id.text()},
                    {"reason", std::string{enumName(reason)}},
                    {"outcome", std::string{enumName(answer.outcome)}}});
     end(request, std::move(answer));
 }
 
-void Answers::end(Request &request, CallerAnswer answer)
+void RequestFinisher::end(Request &request, CallerAnswer answer)
 {
     cancelRuns(request);
-    for (std::size_t stage = request.pendingFrom; stage < request.costs.size(); ++stage) {
+    for (std::size_t stage = request.firstPendingStage; stage < request.costs.size(); ++stage) {
         m_context.admission.stageLeft(request.workspace->name, request.pipeline->stages[stage].pool,
                                       request.costs[stage]);
     }
@@ -123,42 +123,42 @@
     m_context.requests.remove(request);
 }
 
-void Answers::cancelRuns(Request &request)
+void RequestFinisher::cancelRuns(Request &request)
 {
-    for (const Run &run : request.runs) {
+    for (const StageRun &run : request.runs) {
         cancelRun(request, run);
     }
     request.runs.clear();
 }
 
-void Answers::cancelRun(const Request &request, const Run &run)
+void RequestFinisher::cancelRun(const Request &request, const StageRun &run)
 {
-    m_context.table.runEnded(run.number, run.cost);
-    if (run.started) {
-        m_context.ejector.abandoned(run.number, run.cost, m_context.now - *run.started);
+    m_context.table.runEnded(run.endpoint, run.cost);
+    if (run.startedAt) {
+        m_context.ejector.abandoned(run.endpoint, run.cost, m_context.now - *run.startedAt);
     } else {
-        m_context.ejector.trialUndecided(run.number);
+        m_context.ejector.trialUndecided(run.endpoint);
     }
     if (run.serial != noSerial || run.finished) {
         return;
     }
-    m_context.send(run.side, CancelRun{run.id, noSerial});
-    if (run.started) {
+    m_context.send(run.sidecar, CancelRun{run.id, noSerial});
+    if (run.startedAt) {
         m_context.observe(Metric::StageWastedSecondsTotal,
                           {request.pipeline->stages[run.id.stage].name.text(), request.workspace->name.text()},
-                          seconds(m_context.now - *run.started));
+                          seconds(m_context.now - *run.startedAt));
     }
 }
 
-void Answers::countSpent(const Request &request, bool useful)
+void RequestFinisher::observeServiceTime(const Request &request, bool useful)
 {
     const Metric metric = useful ? Metric::StageUsefulSecondsTotal : Metric::StageWastedSecondsTotal;
-    for (std::size_t stage = 0; stage < request.spent.size(); ++stage) {
-        if (request.spent[stage] <= Duration::zero()) {
+    for (std::size_t stage = 0; stage < request.serviceTimeSpent.size(); ++stage) {
+        if (request.serviceTimeSpent[stage] <= Duration::zero()) {
             continue;
         }
         m_context.observe(metric, {request.pipeline->stages[stage].name.text(), request.workspace->name.text()},
-                          seconds(request.spent[stage]));
+                          seconds(request.serviceTimeSpent[stage]));
     }
 }
 
--- a/src/bergamottide/entry/requesttable.cpp
+++ b/src/bergamottide/entry/requesttable.cpp
@@ -11,10 +11,10 @@
     for (const auto &[id, request] : m_requests) {
         ids.push_back(id);
     }
-    const auto before = [](const RequestId &left, const RequestId &right) {
+    const auto byValue = [](const RequestId &left, const RequestId &right) {
         return std::pair{left.high, left.low} < std::pair{right.high, right.low};
     };
-    std::sort(ids.begin(), ids.end(), before);
+    std::sort(ids.begin(), ids.end(), byValue);
     return ids;
 }
 
--- a/src/bergamottide/entry/requesttable.h
+++ b/src/bergamottide/entry/requesttable.h
@@ -12,14 +12,14 @@
 
 namespace bergamottide {
 
-/*! @brief The requests in progress at one entry, found by identity or by the caller's connection. */
+/*! @brief Requests in progress at an entry, indexed by identity and by call. */
 class RequestTable
 {
 public:
     /**
      * @brief Adds a request.
      * @param request Request whose identity is not in the table.
-     * @return The request; its address stays the same until `sweep` after `remove`.
+     * @return The request; the reference is valid until it is removed and `deleteRemoved` is called.
      */
     Request &add(std::unique_ptr<Request> request)
     {
@@ -29,21 +29,21 @@
         return added;
     }
 
-    /*! @brief Finds a request, or null. */
+    /*! @brief Returns the request with an identity, or null. */
     [[nodiscard]] Request *find(const RequestId &id)
     {
         const auto found = m_requests.find(id);
         return found == m_requests.end() ? nullptr : found->second.get();
     }
 
-    /*! @brief Finds the request of a caller's connection, or null. */
-    [[nodiscard]] Request *findCall(CallId call)
+    /*! @brief Returns the request of a call, or null. */
+    [[nodiscard]] Request *findByCall(CallId call)
     {
         const auto found = m_byCall.find(static_cast<std::uint64_t>(call));
         return found == m_byCall.end() ? nullptr : find(found->second);
     }
 
-    /*! @brief Removes a request; it can be read until the next `sweep`. */
+    /*! @brief Removes a request; references to it stay valid until `deleteRemoved`. */
     void remove(Request &request)
     {
         m_byCall.erase(static_cast<std::uint64_t>(request.call));
@@ -52,16 +52,15 @@
         m_requests.erase(found);
     }
 
-    /*! @brief Frees the removed requests, once no reference to one is left. */
-    void sweep()
+    /*! @brief Deletes the removed requests; call it once no reference to them is in use. */
+    void deleteRemoved()
     {
         m_removed.clear();
     }
 
-    /*! @brief Returns the identities of all requests, in order, so that every run visits them alike. */
+    /*! @brief Returns the identities of all requests, sorted so that iteration is deterministic. */
     [[nodiscard]] std::vector<RequestId> ids() const;
 
-    /*! @brief Returns the number of requests. */
     [[nodiscard]] std::size_t size() const noexcept
     {
         return m_requests.size();
--- a/src/bergamottide/entry/resultbuffer.cpp
+++ b/src/bergamottide/entry/resultbuffer.cpp
@@ -17,33 +17,33 @@
         return PieceResult::TooLarge;
     }
     if (offset + piece.size() <= m_bytes.size()) {
-        return PieceResult::Repeated;
+        return PieceResult::Ignored;
     }
-    if (offset > m_bytes.size() && m_waitingBytes + piece.size() > m_limit) {
-        // Overlapping pieces behind a gap; what is dropped here is asked for again.
-        return PieceResult::Repeated;
+    if (offset > m_bytes.size() && m_outOfOrderBytes + piece.size() > m_limit) {
+        // Bounds the memory of overlapping pieces behind a gap; a dropped piece is requested again.
+        return PieceResult::Ignored;
     }
     if (offset > m_bytes.size()) {
-        std::string &waiting = m_waiting[offset];
-        if (waiting.size() >= piece.size()) {
-            return PieceResult::Repeated;
+        std::string &known = m_outOfOrder[offset];
+        if (known.size() >= piece.size()) {
+            return PieceResult::Ignored;
         }
-        m_waitingBytes += piece.size() - waiting.size();
-        waiting.assign(piece);
+        m_outOfOrderBytes += piece.size() - known.size();
+        known.assign(piece);
         return PieceResult::Added;
     }
     m_bytes.append(piece.substr(m_bytes.size() - offset));
-    joinWaiting();
+    mergeOutOfOrder();
     return PieceResult::Added;
 }
 
-void ResultBuffer::joinWaiting()
+void ResultBuffer::mergeOutOfOrder()
 {
-    while (!m_waiting.empty() && m_waiting.begin()->first <= m_bytes.size()) {
-        const auto node = m_waiting.extract(m_waiting.begin());
+    while (!m_outOfOrder.empty() && m_outOfOrder.begin()->first <= m_bytes.size()) {
+        const auto node = m_outOfOrder.extract(m_outOfOrder.begin());
         const std::string &piece = node.mapped();
         const std::uint64_t known = m_bytes.size() - node.key();
-        m_waitingBytes -= piece.size();
+        m_outOfOrderBytes -= piece.size();
         if (known < piece.size()) {
             m_bytes.append(piece, known);
         }
@@ -56,17 +56,17 @@
     m_digest = digest;
 }
 
-bool ResultBuffer::whole() const noexcept
+bool ResultBuffer::isComplete() const noexcept
 {
     return m_length && m_bytes.size() >= *m_length;
 }
 
-bool ResultBuffer::verified() const
+bool ResultBuffer::isVerified() const
 {
     return m_length == m_bytes.size() && XXH3_64bits(m_bytes.data(), m_bytes.size()) == m_digest;
 }
 
-std::uint64_t ResultBuffer::contiguous() const noexcept
+std::uint64_t ResultBuffer::contiguousBytes() const noexcept
 {
     return m_bytes.size();
 }
--- a/src/bergamottide/entry/resultbuffer.h
+++ b/src/bergamottide/entry/resultbuffer.h
@@ -9,28 +9,28 @@
 
 namespace bergamottide {
 
-/*! @brief What adding a piece to a result came to. */
+/*! @brief Result of adding a piece. */
 enum class PieceResult : std::uint8_t
 {
     Added,
-    /*! @brief Nothing was added: the bytes were there already, or too much waits behind a gap. */
-    Repeated,
-    /*! @brief The result would grow above its limit; the piece was dropped. */
+    /*! @brief Nothing was added: the bytes are known already, or too many bytes are buffered behind a gap. */
+    Ignored,
+    /*! @brief The piece was dropped because the result would exceed its limit. */
     TooLarge
 };
 
 /**
- * @brief Puts the pieces of one result together by their offsets.
+ * @brief Reassembles a result from pieces with offsets.
  *
- * Pieces may come late, twice, overlapping or out of order. The first copy of each byte
- * counts; the digest at the end tells if the copies disagreed.
+ * Pieces may be duplicated, overlapping or out of order. The first copy of each byte is
+ * kept; `isVerified` detects copies that differ.
  */
 class ResultBuffer
 {
 public:
     /**
      * @brief Creates an empty buffer.
-     * @param limit Largest result in bytes; bounds what a broken endpoint can cost.
+     * @param limit Maximum size of the result in bytes; bounds the memory that a faulty endpoint can use.
      */
     explicit ResultBuffer(std::size_t limit);
 
@@ -38,40 +38,39 @@
      * @brief Adds a piece.
      * @param offset Position of the piece within the result, in bytes.
      * @param piece Bytes of the piece.
-     * @return Whether it was added, known already or refused.
      */
     [[nodiscard]] PieceResult add(std::uint64_t offset, std::string_view piece);
 
     /**
-     * @brief Notes the end of the result.
-     * @param length Length of the whole result in bytes.
-     * @param digest Its XXH3 digest, 64 bits.
+     * @brief Sets length and digest of the complete result.
+     * @param length Length in bytes.
+     * @param digest XXH3 digest, 64 bits.
      */
     void finish(std::uint64_t length, std::uint64_t digest);
 
-    /*! @brief Tells if the end is known and no byte is missing. */
-    [[nodiscard]] bool whole() const noexcept;
+    /*! @brief Returns whether the length is known and no byte is missing. */
+    [[nodiscard]] bool isComplete() const noexcept;
 
-    /*! @brief Tells if length and digest match what was announced. Requires `whole`. */
-    [[nodiscard]] bool verified() const;
+    /*! @brief Returns whether the bytes match length and digest. Requires `isComplete`. */
+    [[nodiscard]] bool isVerified() const;
 
-    /*! @brief Returns the number of bytes held without a gap from the start: where to resume. */
-    [[nodiscard]] std::uint64_t contiguous() const noexcept;
+    /*! @brief Returns the number of bytes before the first gap; the offset from which to resume. */
+    [[nodiscard]] std::uint64_t contiguousBytes() const noexcept;
 
-    /*! @brief Returns the bytes held without a gap from the start. */
+    /*! @brief Returns the bytes before the first gap. */
     [[nodiscard]] const std::string &bytes() const noexcept;
 
-    /*! @brief Moves the bytes out; the buffer is of no further use. */
+    /*! @brief Moves the bytes out; the buffer must not be used afterwards. */
     [[nodiscard]] std::string take();
 
 private:
-    void joinWaiting();
+    void mergeOutOfOrder();
 
     std::size_t m_limit;
     std::string m_bytes;
-    /*! @brief Pieces behind a gap, by offset. */
-    std::map<std::uint64_t, std::string> m_waiting;
-    std::size_t m_waitingBytes{};
+    /*! @brief Pieces behind the first gap, by offset. */
+    std::map<std::uint64_t, std::string> m_outOfOrder;
+    std::size_t m_outOfOrderBytes{};
     std::optional<std::uint64_t> m_length;
     std::uint64_t m_digest{};
 };
--- a/src/bergamottide/entry/runtracker.cpp
+++ b/src/bergamottide/entry/runtracker.cpp
@@ -6,145 +6,145 @@
 
 namespace {
 
-/*! @brief Tells if the end of a run says that its endpoint is at fault. */
+/*! @brief Returns whether a failed run counts as a failure of its endpoint. */
 bool blamesEndpoint(Reason reason)
 {
     return reason == Reason::EndpointFailed || reason == Reason::EndpointSilent || reason == Reason::ConnectionLost
         || reason == Reason::Internal;
 }
 
-/*! @brief Tells if a refusal comes from another incarnation than the one that gave the serial. */
-bool serialForgotten(Reason reason)
+/*! @brief Returns whether the sidecar refused a run because it does not know the serial. */
+bool serialUnknown(Reason reason)
 {
     return reason == Reason::WrongIncarnation || reason == Reason::UnknownTicket;
 }
 
 } // namespace
 
-RunTracker::RunTracker(EntryContext &context, Answers &answers, StageDriver &driver)
+RunTracker::RunTracker(EntryContext &context, RequestFinisher &finisher, StageDriver &driver)
     : m_context{context}
-    , m_answers{answers}
+    , m_finisher{finisher}
     , m_driver{driver}
 {
 }
 
-Run *RunTracker::findRun(const InstanceName &from, const RunId &id)
+StageRun *RunTracker::findRun(const InstanceName &from, const RunId &id)
 {
     Request *request = m_context.requests.find(id.request);
     if (!request) {
         return nullptr;
     }
-    const auto matches = [&](const Run &run) {
-        return run.id == id && run.side == from;
+    const auto matches = [&](const StageRun &run) {
+        return run.id == id && run.sidecar == from;
     };
     const auto found = std::find_if(request->runs.begin(), request->runs.end(), matches);
     return found == request->runs.end() ? nullptr : &*found;
 }
 
-bool RunTracker::progress(const InstanceName &from, const RunProgress &message)
+bool RunTracker::handleProgress(const InstanceName &from, const RunProgress &message)
 {
-    Run *run = findRun(from, message.run);
+    StageRun *run = findRun(from, message.run);
     if (!run) {
         return false;
     }
     Request &request = *m_context.requests.find(message.run.request);
-    run->heard = m_context.now;
-    run->asked = 0;
-    if (message.state == RunState::Running && !run->started) {
-        run->started = m_context.now;
+    run->lastMessageAt = m_context.now;
+    run->unansweredQueries = 0;
+    if (message.state == RunState::Running && !run->startedAt) {
+        run->startedAt = m_context.now;
     }
     if (message.piece.empty()) {
         return true;
     }
     if (run->result.add(message.offset, message.piece) == PieceResult::TooLarge) {
-        m_context.send(run->side, CancelRun{run->id, run->serial});
+        m_context.send(run->sidecar, CancelRun{run->id, run->serial});
         m_driver.runLost(request, *run, Reason::AnswerTooLarge, Duration::zero());
         return true;
     }
     m_driver.relay(request, *run);
-    checkWhole(request, *run);
+    checkComplete(request, *run);
     return true;
 }
 
-bool RunTracker::finished(const InstanceName &from, const RunFinished &message)
+bool RunTracker::handleFinished(const InstanceName &from, const RunFinished &message)
 {
-    Run *run = findRun(from, message.run);
+    StageRun *run = findRun(from, message.run);
     if (!run) {
         return false;
     }
     Request &request = *m_context.requests.find(message.run.request);
-    run->heard = m_context.now;
-    run->asked = 0;
+    run->lastMessageAt = m_context.now;
+    run->unansweredQueries = 0;
     if (message.state == RunState::Completed) {
         run->finished = message;
         run->result.finish(message.length, message.digest);
-        checkWhole(request, *run);
+        checkComplete(request, *run);
         return true;
     }
     m_context.send(from, RunAcknowledged{message.run});
-    request.spent[request.stage] += message.service;
+    request.serviceTimeSpent[request.stage] += message.service;
     if (message.state == RunState::NotStarted) {
-        notStarted(request, *run, message);
+        handleNotStarted(request, *run, message);
         return true;
     }
-    failed(request, *run, message.reason, message.retryAfter);
+    handleFailed(request, *run, message.reason, message.retryAfter);
     return true;
 }
 
-void RunTracker::checkWhole(Request &request, Run &run)
+void RunTracker::checkComplete(Request &request, StageRun &run)
 {
-    if (!run.finished || !run.result.whole()) {
+    if (!run.finished || !run.result.isComplete()) {
         return;
     }
-    m_context.send(run.side, RunAcknowledged{run.id});
-    if (run.result.verified()) {
+    m_context.send(run.sidecar, RunAcknowledged{run.id});
+    if (run.result.isVerified()) {
         m_driver.advance(request, run);
         return;
     }
     m_context.log(Severity::Error, "Result does not match its digest.",
-                  {{"request", run.id.request.text()}, {"side", run.side.text()}});
-    failed(request, run, Reason::Internal, Duration::zero());
+                  {{"request", run.id.request.text()}, {"side", run.sidecar.text()}});
+    handleFailed(request, run, Reason::Internal, Duration::zero());
 }
 
-void RunTracker::notStarted(Request &request, Run &run, const RunFinished &message)
+void RunTracker::handleNotStarted(Request &request, StageRun &run, const RunFinished &message)
 {
-    if (run.serial != noSerial && serialForgotten(message.reason)) {
-        // Another incarnation refuses it; the one that gave the serial may have started it before it died.
-        m_answers.finish(request, message.reason, message.retryAfter);
+    if (run.serial != noSerial && serialUnknown(message.reason)) {
+        // The incarnation that issued the serial may have started the run before it failed.
+        m_finisher.finish(request, message.reason, message.retryAfter);
         return;
     }
-    // After a new stream the refusal may be that of a restarted side to a repeated message.
-    if (run.epoch == m_context.peers.at(run.side).epoch) {
-        --request.unconfirmed;
+    // If the stream was reopened, the refusal may come from a restarted sidecar that received a repeated message.
+    if (run.streamEpoch == m_context.peers.at(run.sidecar).streamEpoch) {
+        --request.unconfirmedRuns;
         if (run.serial != noSerial) {
-            request.home->dispatched = false;
+            request.home->runDispatched = false;
         }
     }
     if (message.reason == Reason::Draining) {
-        m_context.table.setDraining(run.side, true);
+        m_context.table.setDraining(run.sidecar, true);
     }
     if (message.reason == Reason::EndpointFailed) {
-        m_context.ejector.failed(run.number);
+        m_context.ejector.failed(run.endpoint);
     } else {
-        m_context.ejector.trialUndecided(run.number);
+        m_context.ejector.trialUndecided(run.endpoint);
     }
     if (message.reason == Reason::DeadlineExceeded) {
-        m_answers.giveUp(request, message.reason, message.retryAfter);
+        m_finisher.giveUp(request, message.reason, message.retryAfter);
         return;
     }
     m_driver.runLost(request, run, message.reason, message.retryAfter);
 }
 
-void RunTracker::failed(Request &request, Run &run, Reason reason, Duration retryAfter)
+void RunTracker::handleFailed(Request &request, StageRun &run, Reason reason, Duration retryAfter)
 {
     if (blamesEndpoint(reason)) {
-        m_context.ejector.failed(run.number);
+        m_context.ejector.failed(run.endpoint);
     } else {
-        m_context.ejector.trialUndecided(run.number);
+        m_context.ejector.trialUndecided(run.endpoint);
     }
     if (run.serial != noSerial) {
-        // It ran, or may have: nothing is left to seal.
-        m_answers.finish(request, reason, retryAfter);
+        // The run has started or may have; sealing would have no effect.
+        m_finisher.finish(request, reason, retryAfter);
         return;
     }
     m_driver.runLost(request, run, reason, retryAfter);
--- a/src/bergamottide/entry/runtracker.h
+++ b/src/bergamottide/entry/runtracker.h
@@ -1,42 +1,42 @@
 #pragma once
 
-#include "bergamottide/entry/answers.h"
 #include "bergamottide/entry/entrycontext.h"
+#include "bergamottide/entry/requestfinisher.h"
 #include "bergamottide/entry/stagedriver.h"
 
 namespace bergamottide {
 
 /**
- * @brief Takes what sides say about the runs of this entry.
+ * @brief Handles the messages of sidecars about the runs of this entry.
  */
 class RunTracker
 {
 public:
-    /*! @brief Creates the part over the shared state. */
-    RunTracker(EntryContext &context, Answers &answers, StageDriver &driver);
+    /*! @brief Creates the component; the references must outlive it. */
+    RunTracker(EntryContext &context, RequestFinisher &finisher, StageDriver &driver);
 
     /**
-     * @brief Takes a piece of a result or a sign of life.
-     * @return False if it matches no run in progress.
+     * @brief Handles a piece of a result, or a report that the run is still in progress.
+     * @return False if there is no such run.
      */
-    [[nodiscard]] bool progress(const InstanceName &from, const RunProgress &message);
+    [[nodiscard]] bool handleProgress(const InstanceName &from, const RunProgress &message);
 
     /**
-     * @brief Takes the end of a run.
-     * @return False if it matches no run in progress.
+     * @brief Handles the end of a run.
+     * @return False if there is no such run.
      */
-    [[nodiscard]] bool finished(const InstanceName &from, const RunFinished &message);
+    [[nodiscard]] bool handleFinished(const InstanceName &from, const RunFinished &message);
 
-    /*! @brief Finds the run that a message of a side is about, or null. */
-    [[nodiscard]] Run *findRun(const InstanceName &from, const RunId &id);
+    /*! @brief Returns the run with an identity at a sidecar, or null. */
+    [[nodiscard]] StageRun *findRun(const InstanceName &from, const RunId &id);
 
 private:
-    void checkWhole(Request &request, Run &run);
-    void notStarted(Request &request, Run &run, const RunFinished &message);
-    void failed(Request &request, Run &run, Reason reason, Duration retryAfter);
+    void checkComplete(Request &request, StageRun &run);
+    void handleNotStarted(Request &request, StageRun &run, const RunFinished &message);
+    void handleFailed(Request &request, StageRun &run, Reason reason, Duration retryAfter);
 
     EntryContext &m_context;
-    Answers &m_answers;
+    RequestFinisher &m_finisher;
     StageDriver &m_driver;
 };
 
--- a/src/bergamottide/entry/stagedriver.cpp
+++ b/src/bergamottide/entry/stagedriver.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/*! @brief Step to the next number of attempt when an earlier driver of the request has used this one. */
-constexpr std::uint32_t fencedStep = 16;
+/*! @brief Increment of the attempt number when another entry has already used the number for this request. */
+constexpr std::uint32_t fencedAttemptStep = 16;
 
-/*! @brief Size of a stage's work: the tokens wanted where it generates, else the bytes it reads. */
+/*! @brief Returns the work size of a stage: the maximum number of tokens if it generates any, else bytes of input. */
 double workSize(const Request &request, const Stage &stage)
 {
     if (stage.maxTokens > 0) {
@@ -19,13 +19,13 @@
     return static_cast<double>(request.body.size());
 }
 
-const Stage &presentStage(const Request &request)
+const Stage &currentStage(const Request &request)
 {
     return request.pipeline->stages[request.stage];
 }
 
-/*! @brief Tells if a side refused for a reason of its own, so that trying elsewhere adds no load to a full pool. */
-bool refusedForItself(Reason reason)
+/*! @brief Returns whether a refusal concerns the sidecar only; a retry elsewhere then needs no retry budget. */
+bool refusedBySidecarState(Reason reason)
 {
     return reason == Reason::Draining || reason == Reason::Paused || reason == Reason::StaleView
         || reason == Reason::Fenced;
@@ -33,16 +33,16 @@
 
 } // namespace
 
-StageDriver::StageDriver(EntryContext &context, Answers &answers)
+StageDriver::StageDriver(EntryContext &context, RequestFinisher &finisher)
     : m_context{context}
-    , m_answers{answers}
+    , m_finisher{finisher}
 {
 }
 
 void StageDriver::estimateCosts(Request &request) const
 {
     request.costs.clear();
-    request.spent.assign(request.pipeline->stages.size(), Duration::zero());
+    request.serviceTimeSpent.assign(request.pipeline->stages.size(), Duration::zero());
     for (const Stage &stage : request.pipeline->stages) {
         const ServiceKey key{request.pipeline->name, stage.name, request.kind.name, workSize(request, stage)};
         request.costs.push_back(m_context.estimator.estimate(key, stage.expected));
@@ -51,62 +51,62 @@
 
 ServiceKey StageDriver::serviceKey(const Request &request) const
 {
-    const Stage &stage = presentStage(request);
+    const Stage &stage = currentStage(request);
     return {request.pipeline->name, stage.name, request.kind.name, workSize(request, stage)};
 }
 
-std::optional<Placed> StageDriver::place(const Request &request, bool mayTry)
+std::optional<Placed> StageDriver::place(const Request &request, bool allowsTrial)
 {
     if (request.boundToHome()) {
-        const auto number = m_context.table.find(request.home->side);
-        const bool reachable = number && m_context.peers.connected(request.home->side);
+        const auto number = m_context.table.find(request.home->sidecar);
+        const bool reachable = number && m_context.peers.connected(request.home->sidecar);
         return reachable ? std::optional{Placed{*number, Duration::zero(), false}} : std::nullopt;
     }
-    return m_context.placement.choose(queryFor(request, mayTry), m_context.policy(), m_context.now);
+    return m_context.placement.choose(queryFor(request, allowsTrial), m_context.policy(), m_context.now);
 }
 
-PlacementQuery StageDriver::queryFor(const Request &request, bool mayTry) const
+PlacementQuery StageDriver::queryFor(const Request &request, bool allowsTrial) const
 {
-    return {presentStage(request).pool,
+    return {currentStage(request).pool,
             request.binding->model,
             request.workspace->name,
             request.prefix,
             request.costs[request.stage],
-            mayTry,
+            allowsTrial,
             request.avoided};
 }
 
 void StageDriver::start(Request &request)
 {
-    if (request.home && request.home->sealing) {
+    if (request.home && request.home->sealRequested) {
         return;
     }
     if (m_context.now >= request.deadline) {
-        m_answers.giveUp(request, Reason::DeadlineExceeded, Duration::zero());
+        m_finisher.giveUp(request, Reason::DeadlineExceeded, Duration::zero());
         return;
     }
     if (m_context.paused) {
-        m_context.held.push_back(request.id);
+        m_context.deferred.push_back(request.id);
         return;
     }
-    leaveStagePending(request);
-    const bool first = request.tries == 0;
+    removePendingStage(request);
+    const bool first = request.attemptsMade == 0;
     if (dispatch(request, true)) {
-        const StageName &stage = presentStage(request).name;
+        const StageName &stage = currentStage(request).name;
         if (first) {
-            m_context.retries.earn(request.workspace->name, stage, m_context.policy().retryBudget);
-            m_context.hedges.earn(request.workspace->name, stage, m_context.policy().hedgeBudget);
+            m_context.retryBudget.earn(request.workspace->name, stage, m_context.policy().retryBudget);
+            m_context.hedgeBudget.earn(request.workspace->name, stage, m_context.policy().hedgeBudget);
         }
         return;
     }
     if (!request.boundToHome()) {
-        m_answers.giveUp(request, Reason::NoEndpoint, m_context.policy().ejectionTime);
+        m_finisher.giveUp(request, Reason::NoEndpoint, m_context.policy().ejectionTime);
     }
 }
 
-void StageDriver::releaseHeld()
+void StageDriver::startDeferred()
 {
-    for (const RequestId &id : std::exchange(m_context.held, {})) {
+    for (const RequestId &id : std::exchange(m_context.deferred, {})) {
         Request *request = m_context.requests.find(id);
         if (request && request->runs.empty()) {
             start(*request);
@@ -114,30 +114,30 @@
     }
 }
 
-void StageDriver::leaveStagePending(Request &request)
+void StageDriver::removePendingStage(Request &request)
 {
-    if (request.pendingFrom > request.stage) {
+    if (request.firstPendingStage > request.stage) {
         return;
     }
-    const Stage &stage = presentStage(request);
+    const Stage &stage = currentStage(request);
     m_context.admission.stageLeft(request.workspace->name, stage.pool, request.costs[request.stage]);
-    request.pendingFrom = request.stage + 1;
+    request.firstPendingStage = request.stage + 1;
 }
 
-bool StageDriver::dispatch(Request &request, bool mayTry)
+bool StageDriver::dispatch(Request &request, bool allowsTrial)
 {
-    if (m_context.paused || (request.home && request.home->sealing)) {
+    if (m_context.paused || (request.home && request.home->sealRequested)) {
         return false;
     }
-    const auto placed = place(request, mayTry);
+    const auto placed = place(request, allowsTrial);
     if (!placed) {
         return false;
     }
     ++request.attempt;
-    ++request.tries;
+    ++request.attemptsMade;
     addRun(request, *placed);
-    const Run &run = request.runs.back();
-    m_context.send(run.side, messageFor(request, run));
+    const StageRun &run = request.runs.back();
+    m_context.send(run.sidecar, messageFor(request, run));
     setTimers(request, run);
     return true;
 }
@@ -146,22 +146,22 @@
 {
     const RunId id{request.id, request.stage, request.attempt};
     const Duration cost = request.costs[request.stage];
-    const InstanceName &side = m_context.table.endpoint(placed.number).name;
-    Run &run = request.runs.emplace_back(id, side, placed.number, m_context.policy().maxResultBytes);
+    const InstanceName &sidecar = m_context.table.endpoint(placed.number).name;
+    StageRun &run = request.runs.emplace_back(id, sidecar, placed.number, m_context.policy().maxResultBytes);
     run.cost = cost;
     run.trial = placed.trial;
-    run.dispatched = m_context.now;
-    run.heard = m_context.now;
-    run.epoch = m_context.peers.at(side).epoch;
+    run.dispatchedAt = m_context.now;
+    run.lastMessageAt = m_context.now;
+    run.streamEpoch = m_context.peers.at(sidecar).streamEpoch;
     if (request.boundToHome()) {
         run.serial = request.home->serial;
-        request.home->dispatched = true;
+        request.home->runDispatched = true;
     }
-    ++request.unconfirmed;
+    ++request.unconfirmedRuns;
     m_context.table.runSent(placed.number, cost);
 }
 
-void StageDriver::setTimers(const Request &request, const Run &run)
+void StageDriver::setTimers(const Request &request, const StageRun &run)
 {
     const Policy &policy = m_context.policy();
     const RunId &id = run.id;
@@ -171,15 +171,15 @@
         return;
     }
     const auto delay =
-        m_context.hedging.delay(request.pipeline->name, presentStage(request).name, run.cost, policy.hedgeQuantile);
+        m_context.hedging.delay(request.pipeline->name, currentStage(request).name, run.cost, policy.hedgeQuantile);
     if (delay) {
         m_context.timers.set({m_context.now + *delay, TimerKind::Hedge, id.request, id.stage, id.attempt});
     }
 }
 
-StartRun StageDriver::messageFor(const Request &request, const Run &run) const
+StartRun StageDriver::messageFor(const Request &request, const StageRun &run) const
 {
-    const Stage &stage = presentStage(request);
+    const Stage &stage = currentStage(request);
     StartRun message;
     message.run = run.id;
     message.serial = run.serial;
@@ -202,49 +202,49 @@
     message.streaming = request.streaming && request.atLastStage();
     message.prefix = request.prefix;
     message.body = request.body;
-    message.previous = request.previous;
+    message.previous = request.previousResult;
     return message;
 }
 
-void StageDriver::resend(const Request &request, const Run &run)
+void StageDriver::resend(const Request &request, const StageRun &run)
 {
-    m_context.send(run.side, messageFor(request, run));
+    m_context.send(run.sidecar, messageFor(request, run));
 }
 
 void StageDriver::follow(Request &request, const RunId &id)
 {
-    const auto isRun = [&id](const Run &run) {
+    const auto isRun = [&id](const StageRun &run) {
         return run.id == id;
     };
-    const auto number = m_context.table.find(request.home->side);
+    const auto number = m_context.table.find(request.home->sidecar);
     if (!number || std::any_of(request.runs.begin(), request.runs.end(), isRun)) {
         return;
     }
     cancelOthers(request, id);
     request.stage = static_cast<std::uint32_t>(request.pipeline->stages.size() - 1);
-    leaveStagePending(request);
+    removePendingStage(request);
     request.attempt = id.attempt;
     addRun(request, Placed{*number, Duration::zero(), false});
     setTimers(request, request.runs.back());
 }
 
-void StageDriver::relay(Request &request, const Run &run)
+void StageDriver::relay(Request &request, const StageRun &run)
 {
     if (!request.streaming || !request.atLastStage() || !request.callerWaits) {
         return;
     }
     const std::string &bytes = run.result.bytes();
-    if (bytes.size() <= request.relayed) {
+    if (bytes.size() <= request.relayedBytes) {
         return;
     }
-    m_context.effects.emplace_back(CallerPiece{request.call, bytes.substr(request.relayed)});
-    request.relayed = bytes.size();
+    m_context.effects.emplace_back(CallerPiece{request.call, bytes.substr(request.relayedBytes)});
+    request.relayedBytes = bytes.size();
 }
 
-void StageDriver::remove(Request &request, const Run &run)
+void StageDriver::removeRun(Request &request, const StageRun &run)
 {
-    m_context.table.runEnded(run.number, run.cost);
-    const auto isRun = [&run](const Run &other) {
+    m_context.table.runEnded(run.endpoint, run.cost);
+    const auto isRun = [&run](const StageRun &other) {
         return other.id == run.id;
     };
     request.runs.erase(std::find_if(request.runs.begin(), request.runs.end(), isRun));
@@ -252,76 +252,75 @@
 
 void StageDriver::cancelOthers(Request &request, const RunId &winner)
 {
-    for (const Run &run : request.runs) {
+    for (const StageRun &run : request.runs) {
         if (run.id != winner) {
-            m_answers.cancelRun(request, run);
+            m_finisher.cancelRun(request, run);
         }
     }
-    std::erase_if(request.runs, [&winner](const Run &run) { return run.id != winner; });
+    std::erase_if(request.runs, [&winner](const StageRun &run) { return run.id != winner; });
 }
 
-void StageDriver::advance(Request &request, Run &run)
+void StageDriver::advance(Request &request, StageRun &run)
 {
     const RunFinished finished = *run.finished;
     m_context.estimator.learn(serviceKey(request), finished.service);
-    m_context.hedging.learn(request.pipeline->name, presentStage(request).name, run.cost,
-                            m_context.now - run.dispatched);
-    m_context.ejector.completed(run.number, run.cost, finished.service);
-    request.spent[request.stage] += finished.service;
+    m_context.hedging.learn(request.pipeline->name, currentStage(request).name, run.cost,
+                            m_context.now - run.dispatchedAt);
+    m_context.ejector.completed(run.endpoint, run.cost, finished.service);
+    request.serviceTimeSpent[request.stage] += finished.service;
     request.tokens = finished.tokens;
     const std::string result = run.result.take();
     const RunId id = run.id;
-    remove(request, run);
+    removeRun(request, run);
     cancelOthers(request, id);
     if (request.atLastStage()) {
-        m_answers.complete(request, result);
+        m_finisher.complete(request, result);
         return;
     }
-    request.previous = result;
+    request.previousResult = result;
     ++request.stage;
     request.attempt = 0;
-    request.tries = 0;
+    request.attemptsMade = 0;
     request.avoided.clear();
     start(request);
 }
 
-bool StageDriver::mayRepeat(const Request &request, const Run &run) const
+bool StageDriver::mayRepeat(const Request &request, const StageRun &run) const
 {
-    // What was relayed cannot be taken back, and another run may generate something else.
-    const bool relayed = request.atLastStage() && request.relayed > 0;
-    return run.serial == noSerial && !relayed && m_context.now < request.deadline
-        && request.tries < m_context.policy().maxAttempts;
+    // Bytes that were relayed cannot be revoked, and another run may generate a different result.
+    const bool partlyRelayed = request.atLastStage() && request.relayedBytes > 0;
+    return run.serial == noSerial && !partlyRelayed && m_context.now < request.deadline
+        && request.attemptsMade < m_context.policy().maxAttempts;
 }
 
-void StageDriver::runLost(Request &request, Run &run, Reason reason, Duration retryAfter)
+void StageDriver::runLost(Request &request, StageRun &run, Reason reason, Duration retryAfter)
 {
     const bool repeatable = mayRepeat(request, run);
-    const StageName &stage = presentStage(request).name;
-    request.avoided.push_back(run.side);
+    const StageName &stage = currentStage(request).name;
+    request.avoided.push_back(run.sidecar);
     if (reason == Reason::Fenced) {
-        request.attempt += fencedStep;
+        request.attempt += fencedAttemptStep;
         request.avoided.pop_back();
     }
-    remove(request, run);
+    removeRun(request, run);
     if (!request.runs.empty()) {
         return;
     }
     if (m_context.paused && repeatable) {
-        m_context.held.push_back(request.id);
+        m_context.deferred.push_back(request.id);
         return;
     }
-    const bool paid =
-        repeatable && (refusedForItself(reason) || m_context.retries.spend(request.workspace->name, stage));
-    if (paid && dispatchAgain(request, reason)) {
+    const bool withinBudget =
+        repeatable && (refusedBySidecarState(reason) || m_context.retryBudget.spend(request.workspace->name, stage));
+    if (withinBudget && dispatchAgain(request, reason)) {
         m_context.observe(Metric::RetriesTotal, {stage.text()});
         return;
     }
-    m_answers.giveUp(request, reason, retryAfter);
+    m_finisher.giveUp(request, reason, retryAfter);
 }
 
-// Load: a pool of one endpoint, or of few while others are ejected. Harm prevented: a request given up although its
-// only side stands by. A side that has lost a run with its connection has not failed it, so it may have the next one;
-// after a failure or a refusal the same side would most likely say the same again.
+// Retries at a sidecar that was tried before only if its run was lost with the connection, so that a pool with a single
+// endpoint can retry. After a failure or a refusal the same sidecar would probably fail again.
 bool StageDriver::dispatchAgain(Request &request, Reason reason)
 {
     if (dispatch(request, true)) {
@@ -334,39 +333,39 @@
     return dispatch(request, true);
 }
 
-bool StageDriver::moveElsewhere(Request &request, Run &run)
+bool StageDriver::moveElsewhere(Request &request, StageRun &run)
 {
     if (!mayRepeat(request, run)) {
         return false;
     }
-    const StageName &stage = presentStage(request).name;
+    const StageName &stage = currentStage(request).name;
     const RunId id = run.id;
-    request.avoided.push_back(run.side);
+    request.avoided.push_back(run.sidecar);
     if (request.runs.size() == 1) {
-        if (!m_context.retries.spend(request.workspace->name, stage) || !dispatch(request, true)) {
+        if (!m_context.retryBudget.spend(request.workspace->name, stage) || !dispatch(request, true)) {
             request.avoided.pop_back();
             return false;
         }
         m_context.observe(Metric::RetriesTotal, {stage.text()});
     }
-    const auto isRun = [&id](const Run &other) {
+    const auto isRun = [&id](const StageRun &other) {
         return other.id == id;
     };
     const auto lost = std::find_if(request.runs.begin(), request.runs.end(), isRun);
-    m_answers.cancelRun(request, *lost);
+    m_finisher.cancelRun(request, *lost);
     request.runs.erase(lost);
     return true;
 }
 
 void StageDriver::hedge(Request &request)
 {
-    const Run &slow = request.runs.front();
+    const StageRun &slow = request.runs.front();
     if (request.runs.size() != 1 || !mayRepeat(request, slow)) {
         return;
     }
-    const StageName &stage = presentStage(request).name;
-    request.avoided.push_back(slow.side);
-    if (hasRoomForHedge(request) && m_context.hedges.spend(request.workspace->name, stage)
+    const StageName &stage = currentStage(request).name;
+    request.avoided.push_back(slow.sidecar);
+    if (hasCapacityForHedge(request) && m_context.hedgeBudget.spend(request.workspace->name, stage)
         && dispatch(request, false)) {
         m_context.observe(Metric::HedgesTotal, {stage.text()});
         return;
@@ -374,9 +373,8 @@
     request.avoided.pop_back();
 }
 
-// A second run that queues takes the place of somebody's first one: under saturation everything is slow, and hedging
-// only adds to it.
-bool StageDriver::hasRoomForHedge(const Request &request)
+// A hedge that has to queue delays the first run of another request; under saturation hedging would add load.
+bool StageDriver::hasCapacityForHedge(const Request &request)
 {
     const auto wait = m_context.placement.estimateWait(queryFor(request, false), m_context.policy(), m_context.now);
     return wait && *wait <= request.costs[request.stage] / 4;
--- a/src/bergamottide/entry/stagedriver.h
+++ b/src/bergamottide/entry/stagedriver.h
@@ -1,95 +1,95 @@
 #pragma once
 
-#include "bergamottide/entry/answers.h"
 #include "bergamottide/entry/entrycontext.h"
+#include "bergamottide/entry/requestfinisher.h"
 
 #include <optional>
 
 namespace bergamottide {
 
 /**
- * @brief Takes requests through their stages: places, sends, repeats and ends stage runs.
+ * @brief Executes the stages of requests: places, dispatches, retries and hedges runs.
  */
 class StageDriver
 {
 public:
-    /*! @brief Creates the part over the shared state. */
-    StageDriver(EntryContext &context, Answers &answers);
+    /*! @brief Creates the component; the references must outlive it. */
+    StageDriver(EntryContext &context, RequestFinisher &finisher);
 
     /**
-     * @brief Starts the present stage of a request; ends the request if nothing can run it.
+     * @brief Starts the current stage of a request; ends the request if no endpoint is available.
      *
-     * During a pause the request is held; a stage bound to a home that is not connected
-     * waits for its stream, until the deadline.
+     * After a suspension of the process the start is deferred. A stage bound to a
+     * disconnected home waits for its stream, until the deadline.
      *
      * @param request Request without runs; may be removed.
      */
     void start(Request &request);
 
     /**
-     * @brief Goes on after the result of a run has arrived whole and verified.
+     * @brief Continues with the next stage after a verified result, or completes the request.
      * @param request Request; may be removed.
      * @param run Run of the request.
      */
-    void advance(Request &request, Run &run);
+    void advance(Request &request, StageRun &run);
 
     /**
-     * @brief Goes on after a run has ended without a result.
+     * @brief Handles a run that has ended without a result.
      *
-     * A repeatable stage is tried elsewhere while attempts and budget last.
+     * A repeatable stage is retried at another sidecar within `maxAttempts` and the retry budget.
      *
      * @param request Request; may be removed.
      * @param run Run of the request.
-     * @param reason Why the run ended.
-     * @param retryAfter Time after which another try makes sense; zero for none.
+     * @param reason Reason for the end of the run.
+     * @param retryAfter Time after which the caller may retry; zero if retrying is pointless.
      */
-    void runLost(Request &request, Run &run, Reason reason, Duration retryAfter);
+    void runLost(Request &request, StageRun &run, Reason reason, Duration retryAfter);
 
     /**
-     * @brief Replaces a run whose side is out of reach by one elsewhere, if that is possible.
-     * @return False if the run stays: it must not be repeated, or nothing is left to repeat it with.
+     * @brief Replaces a run at an unreachable sidecar by a run at another one.
+     * @return False if the run remains: it is not repeatable, or budget or endpoints are exhausted.
      */
-    bool moveElsewhere(Request &request, Run &run);
+    bool moveElsewhere(Request &request, StageRun &run);
 
-    /*! @brief Starts a second run beside a repeatable one that takes too long, if the budget allows. */
+    /*! @brief Starts a second run in parallel to a slow, repeatable one, within the hedge budget. */
     void hedge(Request &request);
 
     /**
-     * @brief Sends the run of a stage bound to its home once more, unchanged.
+     * @brief Repeats the start message of a run that is bound to its home.
      *
-     * The serial starts at most one run, so that a repeated message is harmless.
+     * Safe, since a serial starts at most one run.
      */
-    void resend(const Request &request, const Run &run);
+    void resend(const Request &request, const StageRun &run);
 
-    /*! @brief Adds a run that was started by another entry, to wait for its result. */
+    /*! @brief Adds a run that another entry has started, to receive its result. */
     void follow(Request &request, const RunId &id);
 
-    /*! @brief Sends the caller what has newly arrived of the last stage's result. */
-    void relay(Request &request, const Run &run);
+    /*! @brief Sends the caller the new bytes of the last stage's result, if the caller streams. */
+    void relay(Request &request, const StageRun &run);
 
     /*! @brief Estimates the service times of all stages of a request. */
     void estimateCosts(Request &request) const;
 
-    /*! @brief Starts what was held during a pause. */
-    void releaseHeld();
+    /*! @brief Starts the stages that were deferred after a suspension. */
+    void startDeferred();
 
 private:
-    [[nodiscard]] std::optional<Placed> place(const Request &request, bool mayTry);
-    [[nodiscard]] PlacementQuery queryFor(const Request &request, bool mayTry) const;
-    [[nodiscard]] bool hasRoomForHedge(const Request &request);
-    [[nodiscard]] bool dispatch(Request &request, bool mayTry);
-    [[nodiscard]] bool mayRepeat(const Request &request, const Run &run) const;
+    [[nodiscard]] std::optional<Placed> place(const Request &request, bool allowsTrial);
+    [[nodiscard]] PlacementQuery queryFor(const Request &request, bool allowsTrial) const;
+    [[nodiscard]] bool hasCapacityForHedge(const Request &request);
+    [[nodiscard]] bool dispatch(Request &request, bool allowsTrial);
+    [[nodiscard]] bool mayRepeat(const Request &request, const StageRun &run) const;
     [[nodiscard]] bool dispatchAgain(Request &request, Reason reason);
-    [[nodiscard]] StartRun messageFor(const Request &request, const Run &run) const;
+    [[nodiscard]] StartRun messageFor(const Request &request, const StageRun &run) const;
     [[nodiscard]] ServiceKey serviceKey(const Request &request) const;
-    void setTimers(const Request &request, const Run &run);
+    void setTimers(const Request &request, const StageRun &run);
     void addRun(Request &request, const Placed &placed);
-    void leaveStagePending(Request &request);
-    void remove(Request &request, const Run &run);
+    void removePendingStage(Request &request);
+    void removeRun(Request &request, const StageRun &run);
     void cancelOthers(Request &request, const RunId &winner);
 
     EntryContext &m_context;
-    Answers &m_answers;
+    RequestFinisher &m_finisher;
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/entry/timerqueue.h
+++ b/src/bergamottide/entry/timerqueue.h
@@ -9,22 +9,22 @@
 
 namespace bergamottide {
 
-/*! @brief What is due when a timer of an entry expires. */
+/*! @brief Purpose of a timer of an entry. */
 enum class TimerKind : std::uint8_t
 {
-    /*! @brief The deadline of a request. */
+    /*! @brief The deadline of a request is reached. */
     Deadline,
-    /*! @brief A run may have gone silent. */
+    /*! @brief No progress of a run was reported for some time. */
     Progress,
-    /*! @brief A run has taken long enough to be hedged. */
+    /*! @brief A run is slow enough to be hedged. */
     Hedge,
     /*! @brief The home has not answered. */
     Home,
-    /*! @brief A caller's fetch or cancellation has not been answered. */
+    /*! @brief The home has not answered a fetch or cancellation. */
     Fetch
 };
 
-/*! @brief One timer; it may outlive what it was set for and is then ignored. */
+/*! @brief A timer; ignored if its request, run or fetch has ended. */
 struct Timer
 {
     TimePoint at{};
@@ -32,15 +32,15 @@
     RequestId request;
     /*! @brief Stage of the run, for timers of runs. */
     std::uint32_t stage{};
-    /*! @brief Attempt of the run, for timers of runs; number of the fetch, for timers of fetches. */
+    /*! @brief Attempt of the run, number of the fetch, or number of the home's timer. */
     std::uint64_t number{};
 };
 
 /**
- * @brief Timers in order of time.
+ * @brief Priority queue of timers.
  *
- * Timers are never taken back: whoever handles one checks whether it still matters. That
- * keeps the end of a request cheap, and a timer lives no longer than a deadline.
+ * Timers cannot be canceled: the handler checks whether a timer is still relevant. This
+ * keeps the end of a request cheap; timers expire by the deadline of their request.
  */
 class TimerQueue
 {
@@ -52,9 +52,9 @@
     }
 
     /**
-     * @brief Takes the earliest timer that is due.
-     * @param now Present time.
-     * @return The timer, or nothing if none is due.
+     * @brief Removes and returns the earliest expired timer.
+     * @param now Current time.
+     * @return The timer; absent if none has expired.
      */
     [[nodiscard]] std::optional<Timer> takeDue(TimePoint now)
     {
@@ -66,7 +66,7 @@
         return timer;
     }
 
-    /*! @brief Returns the time of the earliest timer, if any. */
+    /*! @brief Returns the expiry of the earliest timer, if any. */
     [[nodiscard]] std::optional<TimePoint> next() const
     {
         return m_timers.empty() ? std::nullopt : std::optional{m_timers.top().at};
--- a/src/bergamottide/ledger/keyownership.cpp
+++ b/src/bergamottide/ledger/keyownership.cpp
@@ -11,32 +11,33 @@
 
 std::uint64_t score(const RequestId &request, const InstanceName &instance)
 {
-    // Both halves go through the hash: mixed by hand, patterns in them would cancel out.
+    // Hashing both halves avoids collisions between identities with related halves.
     const std::uint64_t inner = XXH3_64bits_withSeed(instance.text().data(), instance.text().size(), request.high);
     return XXH3_64bits_withSeed(&inner, sizeof(inner), request.low);
 }
 
-/*! @brief Tells if one instance comes before another as home of a request. */
-bool before(const RequestId &request, const InstanceName &left, const InstanceName &right)
+/*! @brief Returns whether an instance is preferred to another as home of a request. */
+bool ranksHigher(const RequestId &request, const InstanceName &left, const InstanceName &right)
 {
     return std::pair{score(request, left), left} > std::pair{score(request, right), right};
 }
 
-bool stays(const Instance &instance, const PoolName &pool)
+/*! @brief Returns whether an instance may become the home of requests whose last stage runs in a pool. */
+bool isCandidate(const Instance &instance, const PoolName &pool)
 {
     return instance.role == Role::Side && instance.pool == pool && !instance.leaving;
 }
 
 } // namespace
 
-InstanceName keyHome(const RequestId &request, const InstanceView &view, const PoolName &pool)
+InstanceName homeForKey(const RequestId &request, const InstanceView &view, const PoolName &pool)
 {
     InstanceName home;
     for (const auto &[name, instance] : view.instances) {
-        if (!stays(instance, pool)) {
+        if (!isCandidate(instance, pool)) {
             continue;
         }
-        if (home.empty() || before(request, name, home)) {
+        if (home.empty() || ranksHigher(request, name, home)) {
             home = name;
         }
     }
@@ -47,39 +48,40 @@
 {
     for (auto &[name, member] : m_members) {
         const auto found = view.instances.find(name);
-        const bool present = found != view.instances.end() && stays(found->second, pool);
-        if (!present && !member.left) {
-            member.left = now;
+        const bool present = found != view.instances.end() && isCandidate(found->second, pool);
+        if (!present && !member.leftAt) {
+            member.leftAt = now;
         }
     }
     for (const auto &[name, instance] : view.instances) {
-        if (!stays(instance, pool)) {
+        if (!isCandidate(instance, pool)) {
             continue;
         }
         const auto [member, added] = m_members.try_emplace(name, Member{now, std::nullopt});
-        if (member->second.left) {
+        if (member->second.leftAt) {
             member->second = Member{now, std::nullopt};
         }
     }
-    std::erase_if(m_members,
-                  [now, window](const auto &entry) { return entry.second.left && *entry.second.left + window < now; });
+    std::erase_if(m_members, [now, window](const auto &entry) {
+        return entry.second.leftAt && *entry.second.leftAt + window < now;
+    });
 }
 
 KeyVerdict KeyOwnership::judge(const RequestId &request, const InstanceName &self, TimePoint now, Duration window) const
 {
     const auto own = m_members.find(self);
-    if (own == m_members.end() || own->second.left) {
+    if (own == m_members.end() || own->second.leftAt) {
         return {Reason::StaleView, Duration{}};
     }
-    TimePoint clear = own->second.joined + window;
+    TimePoint clear = own->second.joinedAt + window;
     for (const auto &[name, member] : m_members) {
-        if (name == self || !before(request, name, self)) {
+        if (name == self || !ranksHigher(request, name, self)) {
             continue;
         }
-        if (!member.left) {
+        if (!member.leftAt) {
             return {Reason::StaleView, Duration{}};
         }
-        clear = std::max(clear, *member.left + window);
+        clear = std::max(clear, *member.leftAt + window);
     }
     if (now < clear) {
         return {Reason::Warming, clear - now};
--- a/src/bergamottide/ledger/keyownership.h
+++ b/src/bergamottide/ledger/keyownership.h
@@ -9,56 +9,53 @@
 namespace bergamottide {
 
 /**
- * @brief Chooses the home of a request whose identity was derived from an idempotency key.
+ * @brief Returns the home of a request whose identity was derived from an idempotency key.
  *
- * Rendezvous hash: every process with the same view chooses the same instance, and a
- * change of one instance moves only the keys of that one.
+ * Uses rendezvous hashing: all processes with the same view choose the same instance, and
+ * a change of one instance moves only the keys of that instance.
  *
  * @param request Identity derived from workspace and key.
  * @param view Instance list.
  * @param pool Pool of the last stage.
- * @return The instance, or an empty name if the pool has none that stays.
+ * @return Name of the instance; empty if all instances of the pool are leaving or there are none.
  */
-[[nodiscard]] InstanceName keyHome(const RequestId &request, const InstanceView &view, const PoolName &pool);
+[[nodiscard]] InstanceName homeForKey(const RequestId &request, const InstanceView &view, const PoolName &pool);
 
-/*! @brief What a side may do with a request of an idempotency key. */
+/*! @brief Whether a sidecar may accept a request with an idempotency key. */
 struct KeyVerdict
 {
-    /*! @brief `None`; `StaleView` if another instance is the home; `Warming` if another may have been of late. */
+    /*! @brief `None` if it may; `StaleView` if another instance is the home; `Warming` if one was recently. */
     Reason reason{};
-    /*! @brief Time after which the key is free, with `Warming`. */
+    /*! @brief With `Warming`: time after which the request is accepted. */
     Duration retryAfter{};
 };
 
 /**
- * @brief Tells whether this side alone may have run the requests of a key of late.
+ * @brief Decides whether a sidecar owns an idempotency key, so that a key is not run by two homes.
  *
- * Harm prevented: the same key run twice, once by the present and once by the former
- * home. A side that has just started cannot know what the process before it ran, and a
- * side that gains keys with a change of the view cannot know what their former home ran.
- * Both refuse such keys for one window, after which no promise about a former submission
- * is left: a key resubmitted within the window of its first submission runs at most once
- * as long as the views of entries and sides agree within it.
+ * A sidecar that has just started, or that gains keys when the instance list changes, does
+ * not know what the former home has run. It refuses these keys for one window, the time
+ * for which a key is remembered. A key that is resubmitted within the window runs at most
+ * once, provided that the views of all processes agree within the window.
  */
 class KeyOwnership
 {
 public:
     /**
-     * @brief Takes over an instance list.
+     * @brief Applies a new instance list.
      * @param view Instance list.
-     * @param pool Pool of this side.
-     * @param now Present time.
-     * @param window Time for which a former home counts.
+     * @param pool Pool of this sidecar.
+     * @param now Current time.
+     * @param window Time for which a former home still blocks a key.
      */
     void update(const InstanceView &view, const PoolName &pool, TimePoint now, Duration window);
 
     /**
-     * @brief Judges a request.
+     * @brief Decides whether this sidecar may accept a request.
      * @param request Identity derived from workspace and key.
-     * @param self Name of this side.
-     * @param now Present time.
-     * @param window Time for which a former home counts.
-     * @return Verdict.
+     * @param self Name of this sidecar.
+     * @param now Current time.
+     * @param window Time for which a former home still blocks a key.
      */
     [[nodiscard]] KeyVerdict judge(const RequestId &request, const InstanceName &self, TimePoint now,
                                    Duration window) const;
@@ -66,10 +63,10 @@
 private:
     struct Member
     {
-        /*! @brief Time at which it came into the view, or came back; what was before is unknown. */
-        TimePoint joined;
-        /*! @brief Absent while the member is in the view. */
-        std::optional<TimePoint> left;
+        /*! @brief Time at which the instance was last added to the view. */
+        TimePoint joinedAt;
+        /*! @brief Time at which it was removed from the view or began to leave; absent while it is a candidate. */
+        std::optional<TimePoint> leftAt;
     };
 
     std::map<InstanceName, Member> m_members;
--- a/src/bergamottide/ledger/ledger.cpp
+++ b/src/bergamottide/ledger/ledger.cpp
@@ -13,27 +13,27 @@
     if (remaining <= Duration{}) {
         return {Reason::InvalidDeadline, Duration{}, {}};
     }
-    if (m_records.size() >= limits.records) {
-        const Duration untilNext = m_due.empty() ? limits.retention : m_due.begin()->first - now;
+    if (m_records.size() >= limits.maxRecords) {
+        const Duration untilNext = m_expiries.empty() ? limits.retention : m_expiries.begin()->first - now;
         return {Reason::LedgerFull, std::clamp(untilNext, Duration{1}, std::max(limits.retention, Duration{1})), {}};
     }
     LedgerRecord record;
     record.request = request;
     record.serial = Serial{++m_lastSerial};
     record.latestStart = now + remaining;
-    record.keptUntil = record.latestStart + limits.retention;
+    record.retainUntil = record.latestStart + limits.retention;
     if (keyed) {
-        record.keptUntil = std::max(record.keptUntil, now + limits.keyMemory);
+        record.retainUntil = std::max(record.retainUntil, now + limits.keyRetention);
     }
     m_serialOf.emplace(request, record.serial);
-    m_due.emplace(dueTime(record), record.serial);
+    m_expiries.emplace(expiryOf(record), record.serial);
     m_records.emplace(record.serial, record);
     return {Reason::None, Duration{}, record};
 }
 
 Reason Ledger::claim(Serial serial, const RunId &run, TimePoint now)
 {
-    LedgerRecord *record = lookUp(serial);
+    LedgerRecord *record = findRecord(serial);
     if (record == nullptr || record->request != run.request) {
         return Reason::UnknownTicket;
     }
@@ -56,48 +56,48 @@
 
 void Ledger::markRunning(Serial serial)
 {
-    LedgerRecord *record = lookUp(serial);
+    LedgerRecord *record = findRecord(serial);
     if (record != nullptr && record->state == LedgerState::Queued) {
         update(*record, [](LedgerRecord &changed) { changed.state = LedgerState::Running; });
     }
 }
 
-void Ledger::markFinished(Serial serial, TimePoint keptUntil)
+void Ledger::markFinished(Serial serial, TimePoint retainUntil)
 {
-    LedgerRecord *record = lookUp(serial);
+    LedgerRecord *record = findRecord(serial);
     if (record == nullptr || record->state != LedgerState::Running) {
         return;
     }
-    update(*record, [keptUntil](LedgerRecord &changed) {
+    update(*record, [retainUntil](LedgerRecord &changed) {
         changed.state = LedgerState::Finished;
-        changed.keptUntil = std::max(changed.keptUntil, keptUntil);
+        changed.retainUntil = std::max(changed.retainUntil, retainUntil);
     });
 }
 
-LedgerState Ledger::seal(Serial serial, TimePoint keptUntil)
+LedgerState Ledger::seal(Serial serial, TimePoint retainUntil)
 {
-    LedgerRecord *record = lookUp(serial);
+    LedgerRecord *record = findRecord(serial);
     if (record == nullptr) {
         return LedgerState::Absent;
     }
     if (record->state == LedgerState::Opened || record->state == LedgerState::Queued) {
-        update(*record, [keptUntil](LedgerRecord &changed) {
+        update(*record, [retainUntil](LedgerRecord &changed) {
             changed.state = LedgerState::Sealed;
-            changed.keptUntil = std::max(changed.keptUntil, keptUntil);
+            changed.retainUntil = std::max(changed.retainUntil, retainUntil);
         });
     }
     return record->state;
 }
 
-void Ledger::markRefused(Serial serial, TimePoint keptUntil)
+void Ledger::markRefused(Serial serial, TimePoint retainUntil)
 {
-    LedgerRecord *record = lookUp(serial);
+    LedgerRecord *record = findRecord(serial);
     if (record == nullptr || record->state == LedgerState::Finished) {
         return;
     }
-    update(*record, [keptUntil](LedgerRecord &changed) {
+    update(*record, [retainUntil](LedgerRecord &changed) {
         changed.state = LedgerState::Sealed;
-        changed.keptUntil = std::max(changed.keptUntil, keptUntil);
+        changed.retainUntil = std::max(changed.retainUntil, retainUntil);
     });
 }
 
@@ -120,8 +120,8 @@
 std::vector<Serial> Ledger::expire(TimePoint now)
 {
     std::vector<Serial> sealed;
-    while (!m_due.empty() && m_due.begin()->first < now) {
-        const Serial serial = m_due.begin()->second;
+    while (!m_expiries.empty() && m_expiries.begin()->first < now) {
+        const Serial serial = m_expiries.begin()->second;
         LedgerRecord &record = m_records.at(serial);
         if (record.state == LedgerState::Opened) {
             update(record, [](LedgerRecord &changed) { changed.state = LedgerState::Sealed; });
@@ -135,10 +135,10 @@
 
 std::optional<TimePoint> Ledger::nextExpiry() const
 {
-    if (m_due.empty()) {
+    if (m_expiries.empty()) {
         return std::nullopt;
     }
-    return m_due.begin()->first;
+    return m_expiries.begin()->first;
 }
 
 std::size_t Ledger::size() const noexcept
@@ -153,21 +153,21 @@
     }));
 }
 
-TimePoint Ledger::dueTime(const LedgerRecord &record)
+TimePoint Ledger::expiryOf(const LedgerRecord &record)
 {
     switch (record.state) {
     case LedgerState::Opened:
         return record.latestStart;
     case LedgerState::Queued:
     case LedgerState::Running:
-        // In progress: never forgotten, however long it takes.
+        // Records in progress never expire.
         return TimePoint::max();
     default:
-        return record.keptUntil;
+        return record.retainUntil;
     }
 }
 
-LedgerRecord *Ledger::lookUp(Serial serial)
+LedgerRecord *Ledger::findRecord(Serial serial)
 {
     const auto found = m_records.find(serial);
     return found == m_records.end() ? nullptr : &found->second;
@@ -176,15 +176,15 @@
 template <typename Change>
 void Ledger::update(LedgerRecord &record, Change change)
 {
-    m_due.erase({dueTime(record), record.serial});
+    m_expiries.erase({expiryOf(record), record.serial});
     change(record);
-    m_due.emplace(dueTime(record), record.serial);
+    m_expiries.emplace(expiryOf(record), record.serial);
 }
 
 void Ledger::erase(Serial serial)
 {
     const LedgerRecord &record = m_records.at(serial);
-    m_due.erase({dueTime(record), serial});
+    m_expiries.erase({expiryOf(record), serial});
     m_serialOf.erase(record.request);
     m_records.erase(serial);
 }
--- a/src/bergamottide/ledger/ledger.h
+++ b/src/bergamottide/ledger/ledger.h
@@ -12,131 +12,124 @@
 
 namespace bergamottide {
 
-/*! @brief One request in the ledger of its home. */
+/*! @brief Record of a request in the ledger of its home. */
 struct LedgerRecord
 {
     RequestId request;
     Serial serial{};
     LedgerState state{LedgerState::Opened};
-    /*! @brief Run of the serial, once there is one. */
+    /*! @brief Run that claimed the serial; set from state `Queued` on. */
     RunId run;
-    /*! @brief Time after which the run is not started any more. */
+    /*! @brief Time after which the run may not be queued. */
     TimePoint latestStart;
-    /*! @brief Time before which the record is never forgotten. */
-    TimePoint keptUntil;
+    /*! @brief Time until which the record is kept at least. */
+    TimePoint retainUntil;
 };
 
-/*! @brief Limits of a ledger, from the document. */
+/*! @brief Limits of a ledger, from the configuration document. */
 struct LedgerLimits
 {
-    /*! @brief Records kept at most. */
-    std::size_t records{};
-    /*! @brief Time a record is kept after its run has ended, or after its latest start. */
+    /*! @brief Maximum number of records. */
+    std::size_t maxRecords{};
+    /*! @brief Time for which a record is kept after its latest start. */
     Duration retention{};
-    /*! @brief Time from its opening for which a record that others may open too is kept. */
-    Duration keyMemory{};
+    /*! @brief Minimum time for which a record with an idempotency key is kept after its opening. */
+    Duration keyRetention{};
 };
 
-/*! @brief What opening a record gave. */
+/*! @brief Result of opening a record. */
 struct LedgerOpening
 {
-    /*! @brief `None`, or why no record was opened. */
+    /*! @brief `None`, or the reason why no record was opened. */
     Reason reason{};
-    /*! @brief Time after which another try makes sense, with a refusal. */
+    /*! @brief Time after which the caller may retry; set with a refusal. */
     Duration retryAfter{};
-    /*! @brief Copy of the record, without a refusal. */
+    /*! @brief Copy of the record; set without a refusal. */
     LedgerRecord record;
 };
 
 /**
- * @brief Ledger of one side incarnation: every serial starts at most one run, ever.
+ * @brief Ledger of a sidecar incarnation: guarantees that each serial starts at most one run.
  *
- * Serials are counted up and never used again. A record goes from opened to queued to
- * running to finished, or is sealed before it runs; neither a sealed nor a finished one
- * ever runs again. A record is forgotten only when its latest start and its retention have
- * passed; a start that names a forgotten serial is refused, so forgetting never leads to a
- * second run. Load it is made for: a few dozen requests in progress at a side. When more
- * than `records` are kept it refuses to open rather than forget early: memory stays within
- * rate times deadline plus retention.
+ * Serials increase and are never reused. A record goes through the states opened, queued,
+ * running and finished, or is sealed before it runs; sealed and finished are final. A
+ * record is removed only after its latest start and its retention. A run with a removed
+ * serial is refused, so that removal cannot lead to a second run. A full ledger refuses to
+ * open records; it never removes one early.
  */
 class Ledger
 {
 public:
     /**
-     * @brief Opens a record, or finds the one that a request has.
+     * @brief Opens a record for a request, or returns the existing one.
      * @param request Identity of the request.
-     * @param remaining Time left until its deadline.
-     * @param keyed Others may open the same identity.
-     * @param limits Limits in force.
-     * @param now Present time.
+     * @param remaining Time left until the deadline of the request.
+     * @param keyed The identity was derived from an idempotency key.
+     * @param limits Current limits.
+     * @param now Current time.
      * @return The record, or a refusal (`LedgerFull`, `InvalidDeadline`).
      */
     [[nodiscard]] LedgerOpening open(const RequestId &request, Duration remaining, bool keyed,
                                      const LedgerLimits &limits, TimePoint now);
 
     /**
-     * @brief Binds the one run of a serial, which is queued from now on.
-     * @param serial Serial.
-     * @param run Run; its request is that of the record.
-     * @param now Present time.
-     * @return `None`; `UnknownTicket` for an unknown serial, `DuplicateRequest` if it already has a run, `Sealed` if it
-     * was sealed, `DeadlineExceeded` after its latest start (it is sealed then).
+     * @brief Claims a serial for its only run, which becomes queued.
+     * @param run Run of the record's request.
+     * @param now Current time.
+     * @return `None`; `UnknownTicket` if the serial is unknown or belongs to another request; `DuplicateRequest` if it
+     * has a run; `Sealed` if it is sealed; `DeadlineExceeded` after the latest start, which seals it.
      */
     [[nodiscard]] Reason claim(Serial serial, const RunId &run, TimePoint now);
 
-    /*! @brief Records that the run of a serial has been handed to the endpoint. */
+    /*! @brief Records that the run of a serial was sent to the endpoint. */
     void markRunning(Serial serial);
 
     /**
      * @brief Records that the run of a serial has ended at the endpoint.
-     * @param serial Serial.
      * @param keptUntil Time until which the record is kept at least.
      */
-    void markFinished(Serial serial, TimePoint keptUntil);
+    void markFinished(Serial serial, TimePoint retainUntil);
 
     /**
-     * @brief Seals a serial whose run was not started: it never will be.
-     * @param serial Serial.
+     * @brief Seals a serial that is opened or queued, so that its run never starts.
      * @param keptUntil Time until which the record is kept at least.
-     * @return State afterwards: `Sealed`, or `Running` or `Finished` if it was too late, or `Absent`.
+     * @return State afterwards: `Sealed`; `Running` or `Finished` if it is too late; `Absent` if the serial is unknown.
      */
-    LedgerState seal(Serial serial, TimePoint keptUntil);
+    LedgerState seal(Serial serial, TimePoint retainUntil);
 
     /**
-     * @brief Records that the endpoint refused the run before it started: sealed.
-     * @param serial Serial.
+     * @brief Seals a serial whose run was refused by the endpoint before it started.
      * @param keptUntil Time until which the record is kept at least.
      */
-    void markRefused(Serial serial, TimePoint keptUntil);
+    void markRefused(Serial serial, TimePoint retainUntil);
 
-    /*! @brief Tells if a request has a record. */
+    /*! @brief Returns whether a request has a record. */
     [[nodiscard]] bool knows(const RequestId &request) const;
 
-    /*! @brief Tells if a serial was issued, even if its record is forgotten. */
+    /*! @brief Returns whether a serial was issued, even if its record has been removed. */
     [[nodiscard]] bool issued(Serial serial) const noexcept;
 
     /*! @brief Returns the record of a serial, or null. */
     [[nodiscard]] const LedgerRecord *find(Serial serial) const;
 
     /**
-     * @brief Seals opened records whose latest start has passed, and forgets records kept long enough.
-     * @param now Present time.
-     * @return Serials that were sealed.
+     * @brief Seals opened records after their latest start, and removes records whose retention has ended.
+     * @param now Current time.
+     * @return Serials sealed by this call.
      */
     [[nodiscard]] std::vector<Serial> expire(TimePoint now);
 
-    /*! @brief Returns the time at which `expire` next has something to do. */
+    /*! @brief Returns the time after which `expire` has work to do; absent if there are no records. */
     [[nodiscard]] std::optional<TimePoint> nextExpiry() const;
 
-    /*! @brief Returns the number of records. */
     [[nodiscard]] std::size_t size() const noexcept;
 
-    /*! @brief Returns the number of records that may still start or are at the endpoint. */
+    /*! @brief Returns the number of records that are neither finished nor sealed. */
     [[nodiscard]] std::size_t unfinished() const noexcept;
 
 private:
-    [[nodiscard]] static TimePoint dueTime(const LedgerRecord &record);
-    LedgerRecord *lookUp(Serial serial);
+    [[nodiscard]] static TimePoint expiryOf(const LedgerRecord &record);
+    LedgerRecord *findRecord(Serial serial);
     template <typename Change>
     void update(LedgerRecord &record, Change change);
     void erase(Serial serial);
@@ -144,7 +137,7 @@
     std::uint64_t m_lastSerial{};
     std::map<Serial, LedgerRecord> m_records;
     std::map<RequestId, Serial> m_serialOf;
-    std::set<std::pair<TimePoint, Serial>> m_due;
+    std::set<std::pair<TimePoint, Serial>> m_expiries;
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/orders/assignment.cpp
+++ b/src/bergamottide/orders/assignment.cpp
@@ -17,7 +17,7 @@
     return XXH3_64bits_withSeed(model.text().data(), model.text().size(), inner);
 }
 
-/*! @brief Returns the pools of engines in which each model is bound. */
+/*! @brief Returns the engine pools in which each model is used by a binding. */
 std::map<ModelName, std::set<PoolName>> enginePools(const Document &document)
 {
     std::map<ModelName, std::set<PoolName>> pools;
@@ -36,7 +36,7 @@
     return pools;
 }
 
-/*! @brief Returns the rank of an engine for a model; nothing if it is none of the pools' engines. */
+/*! @brief Returns the rank of an engine for a model; absent if the engine belongs to none of the pools. */
 std::optional<std::uint32_t> rankOf(const ModelName &model, const std::set<PoolName> &pools, const InstanceView &view,
                                     const InstanceName &engine)
 {
@@ -60,9 +60,10 @@
 
 } // namespace
 
-std::vector<DueModel> modelsDue(const Document &document, const InstanceView &view, const InstanceName &engine)
+std::vector<AssignedModel> assignedModels(const Document &document, const InstanceView &view,
+                                          const InstanceName &engine)
 {
-    std::vector<DueModel> due;
+    std::vector<AssignedModel> assigned;
     for (const auto &[name, pools] : enginePools(document)) {
         const auto model = document.models.find(name);
         if (model == document.models.end()) {
@@ -73,10 +74,10 @@
             continue;
         }
         const auto &versions = model->second.versions;
-        due.push_back({name, versions.empty() ? std::string{} : versions.back(), model->second.adapters, *rank,
-                       model->second.megabytes});
+        assigned.push_back({name, versions.empty() ? std::string{} : versions.back(), model->second.adapters, *rank,
+                            model->second.megabytes});
     }
-    return due;
+    return assigned;
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/orders/assignment.h
+++ b/src/bergamottide/orders/assignment.h
@@ -8,34 +8,34 @@
 
 namespace bergamottide {
 
-/*! @brief A model that an engine should hold. */
-struct DueModel
+/*! @brief A model that an engine should have loaded. */
+struct AssignedModel
 {
     ModelName name;
-    /*! @brief Version to serve: the newest of the document; empty if it names none. */
+    /*! @brief Version to serve: the last one in the document; empty if there is none. */
     std::string version;
     std::vector<AdapterName> adapters;
-    /*! @brief Place of the engine among those that should hold the model, from zero. */
+    /*! @brief Rank of the engine among those that should load the model, from zero. */
     std::uint32_t rank{};
     std::uint32_t megabytes{};
 
-    [[nodiscard]] bool operator==(const DueModel &) const = default;
+    [[nodiscard]] bool operator==(const AssignedModel &) const = default;
 };
 
 /**
- * @brief Tells which models an engine should hold.
+ * @brief Returns the models that an engine should have loaded.
  *
- * Rendezvous hash of model and engine over the instance list: every side finds the same
- * assignment by itself, and a change of one engine moves only the models of that one. A
- * model is due at its `replicas` highest engines, among the engines of the pools whose
- * stages a binding runs with that model. Leaving instances hold nothing new.
+ * Uses rendezvous hashing of models and engines: all sidecars compute the same assignment
+ * without coordination, and a change of one engine moves only the models of that engine. A
+ * model is assigned to the `replicas` engines with the highest scores, among the engines
+ * of the pools in which a binding uses the model. Leaving instances are excluded.
  *
- * @param document Document in force.
- * @param view Instance list as last heard.
- * @param engine Name of the side beside the engine.
- * @return Models due, in the order of their names.
+ * @param document Current configuration document.
+ * @param view Current instance view.
+ * @param engine Name of the engine's sidecar.
+ * @return Assigned models, ordered by name.
  */
-[[nodiscard]] std::vector<DueModel> modelsDue(const Document &document, const InstanceView &view,
-                                              const InstanceName &engine);
+[[nodiscard]] std::vector<AssignedModel> assignedModels(const Document &document, const InstanceView &view,
+                                                        const InstanceName &engine);
 
 } // namespace bergamottide
--- a/src/bergamottide/orders/orderplanner.cpp
+++ b/src/bergamottide/orders/orderplanner.cpp
@@ -10,33 +10,24 @@
 namespace {
 
 /**
- * @brief Megabytes a second that the engines of one model draw from the weight store together.
+ * @brief Rate at which the engines load one model from the weight store, in megabytes per second in total.
  *
- * Two loads of ten gigabytes in ten seconds: below what one zone's store of today allows,
- * so that a few models may change at once. Faster would only queue at the store, with the
- * engines idle meanwhile.
- */
-constexpr double megabytesPerSecond = 2000.0;
-/*! @brief Share of a turn by which engines are spread around it, so that equal views do not act in step. */
-constexpr double jitter = 0.5;
-/*! @brief Age that the engine's own report may have: what is read sooner after an order may still show the old state.
+ * Below the rate limit of the store, so that several models can be loaded at once.
  */
+constexpr double storeMegabytesPerSecond = 2000.0;
+/*! @brief Maximum jitter of a load's start, as a fraction of the load's duration. */
+constexpr double jitterFraction = 0.5;
+/*! @brief Time for which reports of an engine may show the state before the last order. */
 constexpr Duration reportLag = std::chrono::seconds{2};
-/*! @brief Time without an answer after which an order is unsure; loading large weights takes minutes. */
-constexpr Duration answerLimit = std::chrono::seconds{120};
-/*! @brief Pause after a refused order, doubled with each: an engine that refuses is busy, or does not know the order.
- */
-constexpr Duration refusedPause = std::chrono::seconds{5};
-/*! @brief Doublings of that pause at most: five minutes, so that an engine that was mended is noticed. */
-constexpr unsigned maxDoublings = 6;
-/**
- * @brief Time a model stays loaded after it is due no more.
- *
- * Longer than views lag and than documents that are corrected at once, so that a flapping
- * list or a mistake costs no loads.
- */
+/*! @brief Timeout for the answer to an order; loading large weights takes minutes. */
+constexpr Duration answerTimeout = std::chrono::seconds{120};
+/*! @brief Backoff after a refused order; doubles with each consecutive refusal. */
+constexpr Duration refusalBackoff = std::chrono::seconds{5};
+/*! @brief Limits the backoff to about five minutes, so that orders resume soon after a repair of the engine. */
+constexpr unsigned maxBackoffDoublings = 6;
+/*! @brief Time before an unassigned model is unloaded, so that a flapping instance list causes no reloads. */
 constexpr Duration unloadDelay = std::chrono::seconds{60};
-/*! @brief Orders for each document version before numbers of the next are reached; far more than are ever given. */
+/*! @brief Bits of a fencing number that count the orders of one document version. */
 constexpr unsigned fenceBits = 20;
 
 } // namespace
@@ -50,38 +41,38 @@
 void OrderPlanner::plan(const Document &document, const InstanceView &view, TimePoint now)
 {
     m_version = document.version;
-    m_due = modelsDue(document, view, m_engine);
+    m_assigned = assignedModels(document, view, m_engine);
     std::map<ModelName, TimePoint> since;
-    for (const DueModel &model : m_due) {
-        const auto known = m_dueSince.find(model.name);
-        since[model.name] = known == m_dueSince.end() ? now : known->second;
+    for (const AssignedModel &model : m_assigned) {
+        const auto known = m_assignedSince.find(model.name);
+        since[model.name] = known == m_assignedSince.end() ? now : known->second;
     }
-    m_dueSince = std::move(since);
+    m_assignedSince = std::move(since);
 }
 
 void OrderPlanner::onReport(const EndpointReport &report, TimePoint now)
 {
-    m_readAt = now;
+    m_reportedAt = now;
     m_lastFence = std::max(m_lastFence, report.fence);
-    m_held = {report.models.begin(), report.models.end()};
-    // A model that is gone comes back as the engine loads it, whatever was set before.
-    std::erase_if(m_versions, [this](const auto &entry) { return !m_held.contains(entry.first); });
-    std::erase_if(m_adapters, [this](const auto &entry) { return !m_held.contains(entry.first); });
+    m_loaded = {report.models.begin(), report.models.end()};
+    // A model that is loaded again has neither the version nor the adapters that were set before.
+    std::erase_if(m_versions, [this](const auto &entry) { return !m_loaded.contains(entry.first); });
+    std::erase_if(m_adapters, [this](const auto &entry) { return !m_loaded.contains(entry.first); });
 }
 
 void OrderPlanner::onAnswer(const OrderAnswered &answer, TimePoint now)
 {
-    if (!m_inFlight || m_inFlight->order.fence != answer.fence) {
+    if (!m_orderInFlight || m_orderInFlight->order.fence != answer.fence) {
         return;
     }
-    const GiveOrder order = m_inFlight->order;
-    settle(now);
+    const GiveOrder order = m_orderInFlight->order;
+    reset(now);
     if (!answer.accepted) {
-        m_holdUntil = now + refusedPause * (1U << std::min(m_refusals, maxDoublings));
-        ++m_refusals;
+        m_backoffUntil = now + refusalBackoff * (1U << std::min(m_consecutiveRefusals, maxBackoffDoublings));
+        ++m_consecutiveRefusals;
         return;
     }
-    m_refusals = 0;
+    m_consecutiveRefusals = 0;
     if (order.kind == OrderKind::LoadAdapter) {
         m_adapters.emplace(order.model, order.adapter);
     }
@@ -92,48 +83,48 @@
 
 void OrderPlanner::forgetReading(TimePoint now)
 {
-    settle(now);
+    reset(now);
 }
 
 std::optional<GiveOrder> OrderPlanner::next(TimePoint now)
 {
-    if (m_inFlight && m_inFlight->givenAt + answerLimit < now) {
-        // Unsure: it may still take effect. What the engine holds decides, read anew.
-        settle(now);
+    if (m_orderInFlight && m_orderInFlight->sentAt + answerTimeout < now) {
+        // The order may still take effect, so a newer report decides what to do next.
+        reset(now);
     }
-    const bool fresh = m_readAt && (!m_readAfter || *m_readAt > *m_readAfter);
-    if (m_inFlight || !fresh || now < m_holdUntil || m_version == 0) {
+    const bool isCurrent = m_reportedAt && (!m_reportRequiredAfter || *m_reportedAt > *m_reportRequiredAfter);
+    if (m_orderInFlight || !isCurrent || now < m_backoffUntil || m_version == 0) {
         return std::nullopt;
     }
-    std::optional<GiveOrder> order = compare(now);
+    std::optional<GiveOrder> order = chooseOrder(now);
     if (!order) {
         return std::nullopt;
     }
     order->fence = nextFence();
-    m_inFlight = InFlight{*order, now};
+    m_orderInFlight = OrderInFlight{*order, now};
     return order;
 }
 
 bool OrderPlanner::inFlight() const noexcept
 {
-    return m_inFlight.has_value();
+    return m_orderInFlight.has_value();
 }
 
-std::optional<GiveOrder> OrderPlanner::compare(TimePoint now)
+std::optional<GiveOrder> OrderPlanner::chooseOrder(TimePoint now)
 {
-    for (const DueModel &model : m_due) {
+    for (const AssignedModel &model : m_assigned) {
         std::optional<GiveOrder> order = orderFor(model, now);
         if (order) {
             return order;
         }
     }
-    return unload(now);
+    return unloadOrder(now);
 }
 
-std::optional<GiveOrder> OrderPlanner::orderFor(const DueModel &model, TimePoint now)
+std::optional<GiveOrder> OrderPlanner::orderFor(const AssignedModel &model, TimePoint now)
 {
-    if (!m_held.contains(model.name)) {
-        if (now < loadTurn(model)) {
+    if (!m_loaded.contains(model.name)) {
+        if (now < loadStartTime(model)) {
             return std::nullopt;
         }
         return GiveOrder{0, OrderKind::LoadModel, model.name, {}, model.version};
@@ -149,31 +140,32 @@
     return std::nullopt;
 }
 
-std::optional<GiveOrder> OrderPlanner::unload(TimePoint now)
+std::optional<GiveOrder> OrderPlanner::unloadOrder(TimePoint now)
 {
     std::map<ModelName, TimePoint> since;
     std::optional<GiveOrder> order;
-    for (const ModelName &held : m_held) {
-        if (m_dueSince.contains(held)) {
+    for (const ModelName &loaded : m_loaded) {
+        if (m_assignedSince.contains(loaded)) {
             continue;
         }
-        const auto known = m_surplusSince.find(held);
-        since[held] = known == m_surplusSince.end() ? now : known->second;
-        if (!order && since[held] + unloadDelay < now) {
-            order = GiveOrder{0, OrderKind::UnloadModel, held, {}, {}};
+        const auto known = m_unassignedSince.find(loaded);
+        since[loaded] = known == m_unassignedSince.end() ? now : known->second;
+        if (!order && since[loaded] + unloadDelay < now) {
+            order = GiveOrder{0, OrderKind::UnloadModel, loaded, {}, {}};
         }
     }
-    m_surplusSince = std::move(since);
+    m_unassignedSince = std::move(since);
     return order;
 }
 
-TimePoint OrderPlanner::loadTurn(const DueModel &model) const
+TimePoint OrderPlanner::loadStartTime(const AssignedModel &model) const
 {
-    const double turn = static_cast<double>(model.megabytes) / megabytesPerSecond;
+    const double loadSeconds = static_cast<double>(model.megabytes) / storeMegabytesPerSecond;
     const std::uint64_t hash = XXH3_64bits_withSeed(m_engine.text().data(), m_engine.text().size(), m_seed ^ m_version);
-    const double spread = jitter * turn * static_cast<double>(hash >> 11U) / static_cast<double>(1ULL << 53U);
-    const std::chrono::duration<double> delay{static_cast<double>(model.rank) * turn + spread};
-    return m_dueSince.at(model.name) + std::chrono::duration_cast<Duration>(delay);
+    const double spread =
+        jitterFraction * loadSeconds * static_cast<double>(hash >> 11U) / static_cast<double>(1ULL << 53U);
+    const std::chrono::duration<double> delay{static_cast<double>(model.rank) * loadSeconds + spread};
+    return m_assignedSince.at(model.name) + std::chrono::duration_cast<Duration>(delay);
 }
 
 std::uint64_t OrderPlanner::nextFence()
@@ -182,10 +174,10 @@
     return m_lastFence;
 }
 
-void OrderPlanner::settle(TimePoint now)
+void OrderPlanner::reset(TimePoint now)
 {
-    m_inFlight.reset();
-    m_readAfter = now + reportLag;
+    m_orderInFlight.reset();
+    m_reportRequiredAfter = now + reportLag;
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/orders/orderplanner.h
+++ b/src/bergamottide/orders/orderplanner.h
@@ -14,102 +14,101 @@
 namespace bergamottide {
 
 /**
- * @brief Gives the orders that bring one engine to what it should hold; its single giver.
+ * @brief Issues the orders that make an engine load its assigned models.
  *
- * It compares what is due with what the engine reports, and gives one order at a time.
- * Before each order it wants a report that was read after the last order was answered and
- * the engine's lag has passed, so that it never acts on an old reading. An answer that
- * does not come within a time limit leaves the order unsure: it is neither repeated nor
- * believed, but what the engine holds is read again and compared.
+ * It compares the assigned models with the engine's reports and issues one order at a
+ * time. Each order is based on a report that is newer than the answer to the previous one
+ * by the lag of the engine's reports. If the answer times out, the order is not repeated;
+ * the next report shows whether it took effect.
  *
- * Fencing numbers grow with the document's version and with every order, and always above
- * what the engine has reported, so that engines that honour them refuse the orders of a
- * process that was replaced. Engines that ignore them are protected by the rest.
+ * Fencing numbers increase with the document version and with every order, and exceed the
+ * number that the engine reports, so that an engine can refuse the orders of a replaced
+ * sidecar.
  *
- * Load it is made for: a change of the document that makes hundreds of engines load the
- * same weights. Harm prevented: a stampede at the rate-limited weight store. The engines
- * of a model wait by rank for their turn, with jitter, without talking to each other.
+ * The engines that load the same model start one after another, by rank and with jitter,
+ * so that a new document does not overload the weight store.
  */
 class OrderPlanner
 {
 public:
     /**
-     * @brief Creates a planner that gives no order until it has a plan and a report.
-     * @param engine Name of the side beside the engine.
+     * @brief Creates a planner that issues no order before `plan` and `onReport` were called.
+     * @param engine Name of the engine's sidecar.
      * @param seed Seed of the jitter.
      */
     OrderPlanner(InstanceName engine, std::uint64_t seed);
 
     /**
-     * @brief Takes over what is due by document and view.
-     * @param document Document in force.
-     * @param view Instance list as last heard.
-     * @param now Present time.
+     * @brief Computes the assigned models.
+     * @param document Current configuration document.
+     * @param view Current instance view.
+     * @param now Current time.
      */
     void plan(const Document &document, const InstanceView &view, TimePoint now);
 
     /**
-     * @brief Takes over what the engine holds.
-     * @param report Report of the engine.
-     * @param now Time at which it was read.
+     * @brief Handles a report of the engine.
+     * @param now Time at which the report was received.
      */
     void onReport(const EndpointReport &report, TimePoint now);
 
     /**
      * @brief Handles the answer to an order.
-     * @param answer Answer; ignored unless it is that of the order in flight.
-     * @param now Present time.
+     * @param answer Answer; ignored unless its fencing number is that of the order in flight.
+     * @param now Current time.
      */
     void onAnswer(const OrderAnswered &answer, TimePoint now);
 
-    /*! @brief Forgets what was read: after a pause nothing old is acted on. */
+    /*! @brief Discards the last report and the order in flight, as after a suspension of the process. */
     void forgetReading(TimePoint now);
 
     /**
-     * @brief Decides on the next order.
-     * @param now Present time.
-     * @return The order to give, if one is due now.
+     * @brief Returns the next order, which is then in flight until `onAnswer`.
+     * @param now Current time.
+     * @return Order to send; absent if none is due.
      */
     [[nodiscard]] std::optional<GiveOrder> next(TimePoint now);
 
-    /*! @brief Tells if an order is in flight. */
+    /*! @brief Returns whether an order is in flight. */
     [[nodiscard]] bool inFlight() const noexcept;
 
 private:
-    struct InFlight
+    struct OrderInFlight
     {
         GiveOrder order;
-        TimePoint givenAt;
+        TimePoint sentAt;
     };
 
-    [[nodiscard]] std::optional<GiveOrder> compare(TimePoint now);
-    [[nodiscard]] std::optional<GiveOrder> orderFor(const DueModel &model, TimePoint now);
-    [[nodiscard]] std::optional<GiveOrder> unload(TimePoint now);
-    [[nodiscard]] TimePoint loadTurn(const DueModel &model) const;
+    [[nodiscard]] std::optional<GiveOrder> chooseOrder(TimePoint now);
+    [[nodiscard]] std::optional<GiveOrder> orderFor(const AssignedModel &model, TimePoint now);
+    [[nodiscard]] std::optional<GiveOrder> unloadOrder(TimePoint now);
+    [[nodiscard]] TimePoint loadStartTime(const AssignedModel &model) const;
     [[nodiscard]] std::uint64_t nextFence();
-    void settle(TimePoint now);
+    void reset(TimePoint now);
 
     InstanceName m_engine;
     std::uint64_t m_seed;
     std::uint64_t m_version{};
-    std::vector<DueModel> m_due;
-    /*! @brief Since when each due model has been due. */
-    std::map<ModelName, TimePoint> m_dueSince;
-    /*! @brief Since when each model held has not been due. */
-    std::map<ModelName, TimePoint> m_surplusSince;
-    std::set<ModelName> m_held;
-    /*! @brief Versions and adapters that the engine has accepted since it last loaded the model. */
+    std::vector<AssignedModel> m_assigned;
+    /*! @brief Time at which each assigned model was assigned. */
+    std::map<ModelName, TimePoint> m_assignedSince;
+    /*! @brief Time since which each loaded model has not been assigned. */
+    std::map<ModelName, TimePoint> m_unassignedSince;
+    /*! @brief Models in the last report. */
+    std::set<ModelName> m_loaded;
+    /*! @brief Version set by accepted orders, for each loaded model. */
     std::map<ModelName, std::string> m_versions;
+    /*! @brief Adapters loaded by accepted orders, for each loaded model. */
     std::set<std::pair<ModelName, AdapterName>> m_adapters;
     std::uint64_t m_lastFence{};
-    /*! @brief A reading before this time says nothing about the engine's present state. */
-    std::optional<TimePoint> m_readAfter;
-    std::optional<TimePoint> m_readAt;
-    /*! @brief No order before this time, after one was refused. */
-    TimePoint m_holdUntil;
-    /*! @brief Orders refused since one was accepted. */
-    unsigned m_refusals{};
-    std::optional<InFlight> m_inFlight;
+    /*! @brief Only a report after this time shows the current state of the engine. */
+    std::optional<TimePoint> m_reportRequiredAfter;
+    std::optional<TimePoint> m_reportedAt;
+    /*! @brief No order is issued before this time, because one was refused. */
+    TimePoint m_backoffUntil;
+    /*! @brief Orders refused since the last accepted one. */
+    unsigned m_consecutiveRefusals{};
+    std::optional<OrderInFlight> m_orderInFlight;
 };
 
 } // namespace bergamottide
--- a/test/bergamottide/entry/entryfixture.h
+++ b/test/bergamottide/entry/entryfixture.h
@@ -13,11 +13,11 @@
 
 namespace bergamottide::test {
 
-/*! @brief Names of the sides in the view of the fixture: two for each pool, the second in another zone. */
-inline const std::vector<std::pair<std::string, std::string>> fixtureSides{
+/*! @brief Names and pools of the sidecars: two for each pool, the second in another availability zone. */
+inline const std::vector<std::pair<std::string, std::string>> fixtureSidecars{
     {"enc-1", "encoders"}, {"enc-2", "encoders"}, {"gen-1", "engines"}, {"gen-2", "engines"}};
 
-/*! @brief A document with one workspace, a pipeline `answer` of two repeatable stages and `order` with an effect. */
+/*! @brief Document with a pipeline `answer`, whose stages are repeatable, and `order`, whose last stage is not. */
 [[nodiscard]] inline Document fixtureDocument()
 {
     Document document;
@@ -44,12 +44,12 @@
     return document;
 }
 
-/*! @brief The view that goes with the document. */
+/*! @brief Instance view with the sidecars of the fixture. */
 [[nodiscard]] inline InstanceView fixtureView()
 {
     InstanceView view;
     view.revision = 1;
-    for (const auto &[name, pool] : fixtureSides) {
+    for (const auto &[name, pool] : fixtureSidecars) {
         Instance instance;
         instance.name = InstanceName{name};
         instance.role = Role::Side;
@@ -61,7 +61,7 @@
     return view;
 }
 
-/*! @brief An entry with a document, a view and open streams, driven by hand on a virtual clock. */
+/*! @brief An entry with a document, a view and open streams to all sidecars, under a virtual clock. */
 class EntryFixture
 {
 public:
@@ -70,26 +70,26 @@
     {
         apply(ConfigChanged{std::make_shared<Document>(document), 1});
         apply(ViewChanged{std::make_shared<InstanceView>(fixtureView())});
-        for (const auto &[name, pool] : fixtureSides) {
+        for (const auto &[name, pool] : fixtureSidecars) {
             apply(PeerUp{InstanceName{name}});
         }
         effects.clear();
     }
 
-    /*! @brief Applies an event; its effects replace those of the one before. */
+    /*! @brief Applies an event and stores its effects in `effects`. */
     void apply(const EntryEvent &event)
     {
         effects = entry.apply(event, now);
     }
 
-    /*! @brief Applies a message from a side. */
-    void hear(const InstanceName &from, Message message)
+    /*! @brief Applies a message from a sidecar. */
+    void receive(const InstanceName &from, Message message)
     {
         apply(PeerMessage{from, std::move(message)});
     }
 
-    /*! @brief Moves the clock, ticking whenever the entry asks for it; keeps all effects. */
-    void pass(Duration time)
+    /*! @brief Advances the clock, ticks when the entry requests it, and stores all effects. */
+    void advanceClock(Duration time)
     {
         const TimePoint end = now + time;
         EntryEffects all;
@@ -107,7 +107,7 @@
         effects = std::move(all);
     }
 
-    /*! @brief Submission of workspace `north`. */
+    /*! @brief Returns a submission of workspace `north`. */
     [[nodiscard]] static CallerSubmitted submission(std::uint64_t number, const std::string &pipeline = "answer")
     {
         CallerSubmitted submitted;
@@ -119,26 +119,26 @@
         return submitted;
     }
 
-    /*! @brief Returns the last effect of a kind in the effects of the last event, if any. */
+    /*! @brief Returns the last effect of a type among `effects`, if any. */
     template <typename Effect>
     [[nodiscard]] std::optional<Effect> effect() const
     {
         std::optional<Effect> found;
-        for (const EntryEffect &one : effects) {
-            if (const auto *match = std::get_if<Effect>(&one)) {
+        for (const EntryEffect &item : effects) {
+            if (const auto *match = std::get_if<Effect>(&item)) {
                 found = *match;
             }
         }
         return found;
     }
 
-    /*! @brief Returns the messages of a kind in the effects of the last event, with their receivers. */
+    /*! @brief Returns the messages of a type sent in `effects`, with their receivers. */
     template <typename Body>
     [[nodiscard]] std::vector<std::pair<InstanceName, Body>> sent() const
     {
         std::vector<std::pair<InstanceName, Body>> found;
-        for (const EntryEffect &one : effects) {
-            const auto *send = std::get_if<SendMessage>(&one);
+        for (const EntryEffect &item : effects) {
+            const auto *send = std::get_if<SendMessage>(&item);
             const Body *body = send ? std::get_if<Body>(&send->message) : nullptr;
             if (body) {
                 found.emplace_back(send->to, *body);
@@ -147,18 +147,18 @@
         return found;
     }
 
-    /*! @brief Returns the sum of a metric's changes in the effects of the last event. */
-    [[nodiscard]] double counted(Metric metric) const
+    /*! @brief Returns the sum of a metric's changes in `effects`. */
+    [[nodiscard]] double metricSum(Metric metric) const
     {
         double sum = 0;
-        for (const EntryEffect &one : effects) {
-            const auto *observe = std::get_if<Observe>(&one);
+        for (const EntryEffect &item : effects) {
+            const auto *observe = std::get_if<Observe>(&item);
             sum += observe && observe->metric == metric ? observe->value : 0;
         }
         return sum;
     }
 
-    /*! @brief The end of a run whose result is the text. */
+    /*! @brief Returns the end of a run that completed with a result. */
     [[nodiscard]] static RunFinished completed(const RunId &run, std::string_view result)
     {
         RunFinished finished;
@@ -170,7 +170,7 @@
         return finished;
     }
 
-    /*! @brief A run that was confirmed as never started. */
+    /*! @brief Returns the end of a run that is confirmed as never started. */
     [[nodiscard]] static RunFinished refused(const RunId &run, Reason reason)
     {
         RunFinished finished;
@@ -180,11 +180,11 @@
         return finished;
     }
 
-    /*! @brief Lets a run complete with a result in one piece. */
-    void complete(const InstanceName &side, const RunId &run, const std::string &result)
+    /*! @brief Completes a run with a result in one piece. */
+    void complete(const InstanceName &sidecar, const RunId &run, const std::string &result)
     {
-        hear(side, RunProgress{run, RunState::Running, 0, result, 1});
-        hear(side, completed(run, result));
+        receive(sidecar, RunProgress{run, RunState::Running, 0, result, 1});
+        receive(sidecar, completed(run, result));
     }
 
     EntryReducer entry;
--- a/test/bergamottide/entry/entryreducer.cpp
+++ b/test/bergamottide/entry/entryreducer.cpp
@@ -11,14 +11,14 @@
 {
     CPPUNIT_TEST_SUITE(EntryReducerTest);
     CPPUNIT_TEST(driveStagesInOrderAndAnswerOnce);
-    CPPUNIT_TEST(putLateRepeatedAndReorderedPiecesTogether);
+    CPPUNIT_TEST(reassembleLateRepeatedAndReorderedPieces);
     CPPUNIT_TEST(dropResultOfAnotherRun);
     CPPUNIT_TEST(relayLastStagePieceByPiece);
     CPPUNIT_TEST(refuseBadInputNamingItsField);
     CPPUNIT_TEST(refuseBeforeDocumentAndView);
-    CPPUNIT_TEST(tryElsewhereAfterRefusedRun);
-    CPPUNIT_TEST(sayNotRunOnlyWhenEveryRunWasConfirmedNotStarted);
-    CPPUNIT_TEST(cancelRepeatableWorkOfGoneCaller);
+    CPPUNIT_TEST(retryElsewhereAfterRefusedRun);
+    CPPUNIT_TEST(reportNotRunOnlyIfEveryRunIsConfirmedNotStarted);
+    CPPUNIT_TEST(cancelRepeatableRunsOfDisconnectedCaller);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -39,22 +39,22 @@
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Completed);
         CPPUNIT_ASSERT_EQUAL(std::string{"text"}, answer->body);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.entry.inProgress());
-        fixture.hear(second.first, EntryFixture::completed(second.second.run, "text"));
+        fixture.receive(second.first, EntryFixture::completed(second.second.run, "text"));
         CPPUNIT_ASSERT(!fixture.effect<CallerAnswer>());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.sent<RunAcknowledged>().size());
     }
 
-    void putLateRepeatedAndReorderedPiecesTogether()
+    void reassembleLateRepeatedAndReorderedPieces()
     {
         EntryFixture fixture;
         fixture.apply(EntryFixture::submission(1));
-        const auto [side, start] = fixture.sent<StartRun>().at(0);
-        fixture.hear(side, EntryFixture::completed(start.run, "abcdef"));
-        fixture.hear(side, RunProgress{start.run, RunState::Running, 4, "ef", 1});
-        fixture.hear(side, RunProgress{start.run, RunState::Running, 0, "abc", 1});
-        fixture.hear(side, RunProgress{start.run, RunState::Running, 0, "abc", 1});
+        const auto [sidecar, start] = fixture.sent<StartRun>().at(0);
+        fixture.receive(sidecar, EntryFixture::completed(start.run, "abcdef"));
+        fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 4, "ef", 1});
+        fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 0, "abc", 1});
+        fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 0, "abc", 1});
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
-        fixture.hear(side, RunProgress{start.run, RunState::Running, 2, "cd", 1});
+        fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 2, "cd", 1});
         CPPUNIT_ASSERT_EQUAL(std::string{"abcdef"}, fixture.sent<StartRun>().at(0).second.previous);
     }
 
@@ -62,14 +62,14 @@
     {
         EntryFixture fixture;
         fixture.apply(EntryFixture::submission(1));
-        const auto [side, start] = fixture.sent<StartRun>().at(0);
+        const auto [sidecar, start] = fixture.sent<StartRun>().at(0);
         RunId other = start.run;
         ++other.attempt;
-        fixture.complete(side, other, "wrong");
+        fixture.complete(sidecar, other, "wrong");
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
-        fixture.complete(InstanceName{side.text() == "enc-1" ? "enc-2" : "enc-1"}, start.run, "wrong");
+        fixture.complete(InstanceName{sidecar.text() == "enc-1" ? "enc-2" : "enc-1"}, start.run, "wrong");
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
-        CPPUNIT_ASSERT_EQUAL(1.0, fixture.counted(Metric::DroppedMessagesTotal));
+        CPPUNIT_ASSERT_EQUAL(1.0, fixture.metricSum(Metric::DroppedMessagesTotal));
     }
 
     void relayLastStagePieceByPiece()
@@ -81,13 +81,13 @@
         const auto first = fixture.sent<StartRun>().at(0);
         CPPUNIT_ASSERT(!first.second.streaming);
         fixture.complete(first.first, first.second.run, "vector");
-        const auto [side, start] = fixture.sent<StartRun>().at(0);
+        const auto [sidecar, start] = fixture.sent<StartRun>().at(0);
         CPPUNIT_ASSERT(start.streaming);
-        fixture.hear(side, RunProgress{start.run, RunState::Running, 3, "def", 1});
+        fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 3, "def", 1});
         CPPUNIT_ASSERT(!fixture.effect<CallerPiece>());
-        fixture.hear(side, RunProgress{start.run, RunState::Running, 0, "abc", 1});
+        fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 0, "abc", 1});
         CPPUNIT_ASSERT_EQUAL(std::string{"abcdef"}, fixture.effect<CallerPiece>()->piece);
-        fixture.hear(side, EntryFixture::completed(start.run, "abcdef"));
+        fixture.receive(sidecar, EntryFixture::completed(start.run, "abcdef"));
         CPPUNIT_ASSERT_EQUAL(std::string{}, fixture.effect<CallerAnswer>()->body);
     }
 
@@ -134,12 +134,12 @@
         CPPUNIT_ASSERT(refused);
     }
 
-    void tryElsewhereAfterRefusedRun()
+    void retryElsewhereAfterRefusedRun()
     {
         EntryFixture fixture;
         fixture.apply(EntryFixture::submission(1));
         const auto first = fixture.sent<StartRun>().at(0);
-        fixture.hear(first.first, EntryFixture::refused(first.second.run, Reason::Draining));
+        fixture.receive(first.first, EntryFixture::refused(first.second.run, Reason::Draining));
         const auto second = fixture.sent<StartRun>().at(0);
         CPPUNIT_ASSERT(first.first != second.first);
         CPPUNIT_ASSERT_EQUAL(first.second.run.attempt + 1, second.second.run.attempt);
@@ -147,28 +147,28 @@
         CPPUNIT_ASSERT_EQUAL(second.first, fixture.sent<StartRun>().at(0).first);
     }
 
-    void sayNotRunOnlyWhenEveryRunWasConfirmedNotStarted()
+    void reportNotRunOnlyIfEveryRunIsConfirmedNotStarted()
     {
         EntryFixture fixture;
         fixture.apply(EntryFixture::submission(1));
         const auto first = fixture.sent<StartRun>().at(0);
-        fixture.hear(first.first, EntryFixture::refused(first.second.run, Reason::Draining));
+        fixture.receive(first.first, EntryFixture::refused(first.second.run, Reason::Draining));
         const auto second = fixture.sent<StartRun>().at(0);
-        fixture.hear(second.first, EntryFixture::refused(second.second.run, Reason::Draining));
+        fixture.receive(second.first, EntryFixture::refused(second.second.run, Reason::Draining));
         CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->outcome == Outcome::NotRun);
 
         EntryFixture other;
         other.apply(EntryFixture::submission(1));
-        other.pass(std::chrono::seconds{9});
+        other.advanceClock(std::chrono::seconds{9});
         const auto answer = other.effect<CallerAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Incomplete);
     }
 
-    void cancelRepeatableWorkOfGoneCaller()
+    void cancelRepeatableRunsOfDisconnectedCaller()
     {
         EntryFixture fixture;
         fixture.apply(EntryFixture::submission(1));
-        const auto [side, start] = fixture.sent<StartRun>().at(0);
+        const auto [sidecar, start] = fixture.sent<StartRun>().at(0);
         fixture.apply(CallerGone{CallId{1}});
         CPPUNIT_ASSERT(fixture.sent<CancelRun>().at(0).second.run == start.run);
         CPPUNIT_ASSERT(!fixture.effect<CallerAnswer>());
--- a/test/bergamottide/entry/fetches.cpp
+++ b/test/bergamottide/entry/fetches.cpp
@@ -31,11 +31,11 @@
     CPPUNIT_TEST_SUITE(FetchesTest);
     CPPUNIT_TEST(fetchResultFromOffset);
     CPPUNIT_TEST(refuseTicketOfAnotherWorkspace);
-    CPPUNIT_TEST(askAgainUntilAnsweredThenSayUnknown);
-    CPPUNIT_TEST(saySealedAndForgottenTruthfully);
-    CPPUNIT_TEST(cancelSealsFirst);
-    CPPUNIT_TEST(cancelOfRunningOrderSaysUnknown);
-    CPPUNIT_TEST(cancelEndsRequestDrivenHere);
+    CPPUNIT_TEST(repeatQueryUntilDeadlineThenReportUnknown);
+    CPPUNIT_TEST(reportSealedAndUnknownSerials);
+    CPPUNIT_TEST(cancelSealsBeforeAnswering);
+    CPPUNIT_TEST(cancelOfRunningRequestReportsUnknown);
+    CPPUNIT_TEST(cancelEndsRequestInProgressHere);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -44,9 +44,9 @@
         EntryFixture fixture;
         fixture.apply(fetchFrom(4));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, fixture.sent<AttachRequest>().at(0).second.offset);
-        fixture.hear(home, stateOf(LedgerState::Finished));
-        fixture.hear(home, RunProgress{run, RunState::Completed, 2, "cdef", 0});
-        fixture.hear(home, EntryFixture::completed(run, "abcdef"));
+        fixture.receive(home, stateOf(LedgerState::Finished));
+        fixture.receive(home, RunProgress{run, RunState::Completed, 2, "cdef", 0});
+        fixture.receive(home, EntryFixture::completed(run, "abcdef"));
         const auto answer = fixture.effect<CallerAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Completed);
         CPPUNIT_ASSERT_EQUAL(std::string{"ef"}, answer->body);
@@ -63,58 +63,58 @@
         CPPUNIT_ASSERT(fixture.sent<AttachRequest>().empty());
     }
 
-    void askAgainUntilAnsweredThenSayUnknown()
+    void repeatQueryUntilDeadlineThenReportUnknown()
     {
         EntryFixture fixture;
         fixture.apply(fetchFrom(0));
-        fixture.pass(std::chrono::seconds{1});
+        fixture.advanceClock(std::chrono::seconds{1});
         CPPUNIT_ASSERT(!fixture.sent<AttachRequest>().empty());
         CPPUNIT_ASSERT(!fixture.effect<CallerAnswer>());
-        fixture.pass(std::chrono::seconds{1});
+        fixture.advanceClock(std::chrono::seconds{1});
         CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
     }
 
-    void saySealedAndForgottenTruthfully()
+    void reportSealedAndUnknownSerials()
     {
         EntryFixture fixture;
         fixture.apply(fetchFrom(0));
-        fixture.hear(home, stateOf(LedgerState::Sealed));
+        fixture.receive(home, stateOf(LedgerState::Sealed));
         CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->outcome == Outcome::Incomplete);
         fixture.apply(fetchFrom(0));
-        fixture.hear(home, RequestState{request, Incarnation{99}, noSerial, LedgerState::Absent, {}});
+        fixture.receive(home, RequestState{request, Incarnation{99}, noSerial, LedgerState::Absent, {}});
         const auto answer = fixture.effect<CallerAnswer>();
         CPPUNIT_ASSERT(answer->outcome == Outcome::Unknown && answer->reason == Reason::WrongIncarnation);
     }
 
-    void cancelSealsFirst()
+    void cancelSealsBeforeAnswering()
     {
         EntryFixture fixture;
         fixture.apply(CallerCanceled{CallId{9}, "key-north", ticket});
         CPPUNIT_ASSERT(fixture.sent<SealRequest>().at(0).second.serial == ticket.serial);
         CPPUNIT_ASSERT(!fixture.effect<CallerAnswer>());
-        fixture.hear(home, stateOf(LedgerState::Sealed));
+        fixture.receive(home, stateOf(LedgerState::Sealed));
         const auto answer = fixture.effect<CallerAnswer>();
         CPPUNIT_ASSERT(answer->outcome == Outcome::Incomplete && answer->reason == Reason::Canceled);
     }
 
-    void cancelOfRunningOrderSaysUnknown()
+    void cancelOfRunningRequestReportsUnknown()
     {
         EntryFixture fixture;
         fixture.apply(CallerCanceled{CallId{9}, "key-north", ticket});
-        fixture.hear(home, stateOf(LedgerState::Running));
+        fixture.receive(home, stateOf(LedgerState::Running));
         CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
     }
 
-    void cancelEndsRequestDrivenHere()
+    void cancelEndsRequestInProgressHere()
     {
         EntryFixture fixture;
         fixture.apply(EntryFixture::submission(1, "order"));
-        const InstanceName side = fixture.sent<OpenRequest>().at(0).first;
-        fixture.hear(side, RequestOpened{request, ticket.incarnation, ticket.serial, LedgerState::Opened});
+        const InstanceName sidecar = fixture.sent<OpenRequest>().at(0).first;
+        fixture.receive(sidecar, RequestOpened{request, ticket.incarnation, ticket.serial, LedgerState::Opened});
         Ticket own = ticket;
-        own.home = side;
+        own.home = sidecar;
         fixture.apply(CallerCanceled{CallId{9}, "key-north", own});
-        fixture.hear(side, stateOf(LedgerState::Sealed));
+        fixture.receive(sidecar, stateOf(LedgerState::Sealed));
         int answers = 0;
         for (const EntryEffect &effect : fixture.effects) {
             const auto *answer = std::get_if<CallerAnswer>(&effect);
