--- a/test/bergamottide/entry/homes.cpp
+++ b/test/bergamottide/entry/homeclient.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/entry/homes.h"
+#include "bergamottide/entry/homeclient.h"
 
 #include "entryfixture.h"
 
@@ -17,20 +17,20 @@
     return RequestState{request, homeIncarnation, homeSerial, state, {}};
 }
 
-/*! @brief An order that was opened at its home; nothing but the first stage was started. */
-struct OpenedOrder
+/*! @brief A request of pipeline `order` that is opened at its home and whose first stage has started. */
+struct OpenedRequest
 {
-    OpenedOrder()
+    OpenedRequest()
     {
         fixture.apply(EntryFixture::submission(1, "order"));
         home = fixture.sent<OpenRequest>().at(0).first;
-        fixture.hear(home, RequestOpened{id, homeIncarnation, homeSerial, LedgerState::Opened});
+        fixture.receive(home, RequestOpened{id, homeIncarnation, homeSerial, LedgerState::Opened});
         const auto start = fixture.sent<StartRun>().at(0);
         encoder = start.first;
         encode = start.second.run;
     }
 
-    /*! @brief Goes on to the last stage. */
+    /*! @brief Completes the first stage, so that the last one starts. */
     void reachLastStage()
     {
         fixture.complete(encoder, encode, "vector");
@@ -47,22 +47,22 @@
 
 } // namespace
 
-class HomesTest : public CppUnit::TestFixture
+class HomeClientTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(HomesTest);
+    CPPUNIT_TEST_SUITE(HomeClientTest);
     CPPUNIT_TEST(openAtHomeBeforeAnythingStartsAndRunLastStageThere);
-    CPPUNIT_TEST(pinFirstSerialAndIgnoreLaterOnes);
-    CPPUNIT_TEST(turnToAnotherHomeOnlyWithoutSerial);
+    CPPUNIT_TEST(keepFirstSerialAndIgnoreLaterOnes);
+    CPPUNIT_TEST(tryAnotherHomeOnlyWithoutSerial);
     CPPUNIT_TEST(keyedRequestStaysAtItsHome);
-    CPPUNIT_TEST(sayUnknownWhenSerialRunFails);
-    CPPUNIT_TEST(sealBeforeSayingIncomplete);
-    CPPUNIT_TEST(sayUnknownWithoutConfirmationOfSeal);
-    CPPUNIT_TEST(sayNotRunWhenSealedBeforeAnyStage);
-    CPPUNIT_TEST(sayUnknownWhenHomeRestartedAfterDispatch);
-    CPPUNIT_TEST(sendLostStartAgainWithSameSerial);
-    CPPUNIT_TEST(goOnWithOrderOfGoneCaller);
-    CPPUNIT_TEST(refuseDuplicateUnlessTicketIsShown);
-    CPPUNIT_TEST(driveAnewWithTicketUnderSameSerial);
+    CPPUNIT_TEST(reportUnknownWhenRunWithSerialFails);
+    CPPUNIT_TEST(sealBeforeReportingIncomplete);
+    CPPUNIT_TEST(reportUnknownWithoutConfirmationOfSeal);
+    CPPUNIT_TEST(reportNotRunWhenSealedBeforeAnyStage);
+    CPPUNIT_TEST(reportUnknownWhenHomeRestartedAfterDispatch);
+    CPPUNIT_TEST(repeatLostStartWithSameSerial);
+    CPPUNIT_TEST(continueRequestOfDisconnectedCaller);
+    CPPUNIT_TEST(refuseDuplicateWithoutTicket);
+    CPPUNIT_TEST(resumeWithTicketUnderSameSerial);
     CPPUNIT_TEST(followRunThatAnotherSubmissionStarted);
     CPPUNIT_TEST_SUITE_END();
 
@@ -73,40 +73,40 @@
         fixture.apply(EntryFixture::submission(1, "order"));
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
         const InstanceName home = fixture.sent<OpenRequest>().at(0).first;
-        fixture.hear(home, RequestOpened{{1, 1}, homeIncarnation, homeSerial, LedgerState::Opened});
+        fixture.receive(home, RequestOpened{{1, 1}, homeIncarnation, homeSerial, LedgerState::Opened});
         const auto ticket = fixture.effect<CallerTicket>();
         CPPUNIT_ASSERT(ticket && ticket->ticket.serial == homeSerial && ticket->ticket.home == home);
         const auto [encoder, encode] = fixture.sent<StartRun>().at(0);
         CPPUNIT_ASSERT(encode.serial == noSerial);
         fixture.complete(encoder, encode.run, "vector");
-        const auto [side, commit] = fixture.sent<StartRun>().at(0);
-        CPPUNIT_ASSERT_EQUAL(home, side);
+        const auto [sidecar, commit] = fixture.sent<StartRun>().at(0);
+        CPPUNIT_ASSERT_EQUAL(home, sidecar);
         CPPUNIT_ASSERT(commit.serial == homeSerial && commit.incarnation == homeIncarnation);
         fixture.complete(home, commit.run, "ordered");
         const auto answer = fixture.effect<CallerAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Completed && answer->ticket == ticket->ticket);
     }
 
-    void pinFirstSerialAndIgnoreLaterOnes()
+    void keepFirstSerialAndIgnoreLaterOnes()
     {
-        OpenedOrder order;
-        order.fixture.hear(order.home, RequestOpened{order.id, homeIncarnation, Serial{6}, LedgerState::Opened});
+        OpenedRequest order;
+        order.fixture.receive(order.home, RequestOpened{order.id, homeIncarnation, Serial{6}, LedgerState::Opened});
         CPPUNIT_ASSERT(order.fixture.sent<StartRun>().empty());
         order.reachLastStage();
         CPPUNIT_ASSERT(order.commit.serial == homeSerial);
     }
 
-    void turnToAnotherHomeOnlyWithoutSerial()
+    void tryAnotherHomeOnlyWithoutSerial()
     {
         EntryFixture fixture;
         fixture.apply(EntryFixture::submission(1, "order"));
         const InstanceName first = fixture.sent<OpenRequest>().at(0).first;
-        fixture.hear(first, OpenRefused{{1, 1}, Reason::LedgerFull, {}});
+        fixture.receive(first, OpenRefused{{1, 1}, Reason::LedgerFull, {}});
         const InstanceName second = fixture.sent<OpenRequest>().at(0).first;
         CPPUNIT_ASSERT(first != second);
-        fixture.hear(first, RequestOpened{{1, 1}, homeIncarnation, homeSerial, LedgerState::Opened});
+        fixture.receive(first, RequestOpened{{1, 1}, homeIncarnation, homeSerial, LedgerState::Opened});
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
-        fixture.hear(second, RequestOpened{{1, 1}, Incarnation{42}, homeSerial, LedgerState::Opened});
+        fixture.receive(second, RequestOpened{{1, 1}, Incarnation{42}, homeSerial, LedgerState::Opened});
         CPPUNIT_ASSERT_EQUAL(second, fixture.effect<CallerTicket>()->ticket.home);
         fixture.apply(PeerDown{second});
         CPPUNIT_ASSERT(fixture.sent<OpenRequest>().empty());
@@ -120,89 +120,89 @@
         fixture.apply(submitted);
         const InstanceName home = fixture.sent<OpenRequest>().at(0).first;
         CPPUNIT_ASSERT(fixture.sent<OpenRequest>().at(0).second.keyed);
-        fixture.hear(home, OpenRefused{{1, 1}, Reason::Warming, std::chrono::seconds{3}});
+        fixture.receive(home, OpenRefused{{1, 1}, Reason::Warming, std::chrono::seconds{3}});
         CPPUNIT_ASSERT(fixture.sent<OpenRequest>().empty());
         const auto answer = fixture.effect<CallerAnswer>();
         CPPUNIT_ASSERT(answer && answer->reason == Reason::Warming && answer->outcome == Outcome::Unknown);
         CPPUNIT_ASSERT(answer->retryAfter == std::chrono::seconds{3});
     }
 
-    void sayUnknownWhenSerialRunFails()
+    void reportUnknownWhenRunWithSerialFails()
     {
-        OpenedOrder order;
+        OpenedRequest order;
         order.reachLastStage();
         RunFinished failed = EntryFixture::refused(order.commit.run, Reason::EndpointFailed);
         failed.state = RunState::Failed;
-        order.fixture.hear(order.home, failed);
+        order.fixture.receive(order.home, failed);
         CPPUNIT_ASSERT(order.fixture.sent<StartRun>().empty());
         CPPUNIT_ASSERT(order.fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
     }
 
-    void sealBeforeSayingIncomplete()
+    void sealBeforeReportingIncomplete()
     {
-        OpenedOrder order;
+        OpenedRequest order;
         order.reachLastStage();
-        order.fixture.hear(order.home, EntryFixture::refused(order.commit.run, Reason::QueueFull));
+        order.fixture.receive(order.home, EntryFixture::refused(order.commit.run, Reason::QueueFull));
         CPPUNIT_ASSERT(!order.fixture.effect<CallerAnswer>());
         CPPUNIT_ASSERT(order.fixture.sent<SealRequest>().at(0).second.serial == homeSerial);
-        order.fixture.hear(order.home, stateOf(order.id, LedgerState::Sealed));
+        order.fixture.receive(order.home, stateOf(order.id, LedgerState::Sealed));
         const auto answer = order.fixture.effect<CallerAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Incomplete && answer->reason == Reason::QueueFull);
     }
 
-    void sayUnknownWithoutConfirmationOfSeal()
+    void reportUnknownWithoutConfirmationOfSeal()
     {
-        OpenedOrder order;
+        OpenedRequest order;
         order.reachLastStage();
-        order.fixture.hear(order.home, EntryFixture::refused(order.commit.run, Reason::QueueFull));
-        order.fixture.pass(Policy{}.progressTimeout);
+        order.fixture.receive(order.home, EntryFixture::refused(order.commit.run, Reason::QueueFull));
+        order.fixture.advanceClock(Policy{}.progressTimeout);
         CPPUNIT_ASSERT(order.fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
     }
 
-    void sayNotRunWhenSealedBeforeAnyStage()
+    void reportNotRunWhenSealedBeforeAnyStage()
     {
-        OpenedOrder order;
+        OpenedRequest order;
         for (int attempt = 0; attempt < 2; ++attempt) {
-            order.fixture.hear(order.encoder, EntryFixture::refused(order.encode, Reason::Draining));
+            order.fixture.receive(order.encoder, EntryFixture::refused(order.encode, Reason::Draining));
             const auto retry = order.fixture.sent<StartRun>();
             if (!retry.empty()) {
                 order.encoder = retry.at(0).first;
                 order.encode = retry.at(0).second.run;
             }
         }
-        order.fixture.hear(order.home, stateOf(order.id, LedgerState::Sealed));
+        order.fixture.receive(order.home, stateOf(order.id, LedgerState::Sealed));
         CPPUNIT_ASSERT(order.fixture.effect<CallerAnswer>()->outcome == Outcome::NotRun);
     }
 
-    void sayUnknownWhenHomeRestartedAfterDispatch()
+    void reportUnknownWhenHomeRestartedAfterDispatch()
     {
-        OpenedOrder order;
+        OpenedRequest order;
         order.reachLastStage();
-        order.fixture.hear(order.home, EntryFixture::refused(order.commit.run, Reason::WrongIncarnation));
+        order.fixture.receive(order.home, EntryFixture::refused(order.commit.run, Reason::WrongIncarnation));
         CPPUNIT_ASSERT(order.fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
 
-        OpenedOrder other;
+        OpenedRequest other;
         other.reachLastStage();
-        other.fixture.hear(other.home, RequestState{other.id, Incarnation{99}, noSerial, LedgerState::Absent, {}});
+        other.fixture.receive(other.home, RequestState{other.id, Incarnation{99}, noSerial, LedgerState::Absent, {}});
         CPPUNIT_ASSERT(other.fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
     }
 
-    void sendLostStartAgainWithSameSerial()
+    void repeatLostStartWithSameSerial()
     {
-        OpenedOrder order;
+        OpenedRequest order;
         order.reachLastStage();
         order.fixture.apply(PeerDown{order.home});
         CPPUNIT_ASSERT(order.fixture.sent<StartRun>().empty());
         order.fixture.apply(PeerUp{order.home});
         CPPUNIT_ASSERT(order.fixture.sent<AttachRequest>().at(0).second.serial == homeSerial);
-        order.fixture.hear(order.home, stateOf(order.id, LedgerState::Opened));
+        order.fixture.receive(order.home, stateOf(order.id, LedgerState::Opened));
         const auto again = order.fixture.sent<StartRun>().at(0);
         CPPUNIT_ASSERT(again.second.run == order.commit.run && again.second.serial == homeSerial);
     }
 
-    void goOnWithOrderOfGoneCaller()
+    void continueRequestOfDisconnectedCaller()
     {
-        OpenedOrder order;
+        OpenedRequest order;
         order.fixture.apply(CallerGone{CallId{1}});
         CPPUNIT_ASSERT(order.fixture.sent<CancelRun>().empty());
         order.reachLastStage();
@@ -211,9 +211,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, order.fixture.entry.inProgress());
     }
 
-    void refuseDuplicateUnlessTicketIsShown()
+    void refuseDuplicateWithoutTicket()
     {
-        OpenedOrder order;
+        OpenedRequest order;
         CallerSubmitted again = EntryFixture::submission(1, "order");
         again.call = CallId{2};
         order.fixture.apply(again);
@@ -225,7 +225,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, order.fixture.sent<AttachRequest>().size());
     }
 
-    void driveAnewWithTicketUnderSameSerial()
+    void resumeWithTicketUnderSameSerial()
     {
         EntryFixture fixture;
         CallerSubmitted again = EntryFixture::submission(3, "order");
@@ -233,7 +233,7 @@
         fixture.apply(again);
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
         CPPUNIT_ASSERT_EQUAL(InstanceName{"gen-2"}, fixture.sent<AttachRequest>().at(0).first);
-        fixture.hear(InstanceName{"gen-2"}, stateOf({1, 1}, LedgerState::Opened));
+        fixture.receive(InstanceName{"gen-2"}, stateOf({1, 1}, LedgerState::Opened));
         const auto [encoder, encode] = fixture.sent<StartRun>().at(0);
         CPPUNIT_ASSERT(encode.run.request == (RequestId{1, 1}));
         fixture.complete(encoder, encode.run, "vector");
@@ -247,12 +247,12 @@
         submitted.keyed = true;
         fixture.apply(submitted);
         const InstanceName home = fixture.sent<OpenRequest>().at(0).first;
-        fixture.hear(home, RequestOpened{{1, 1}, homeIncarnation, homeSerial, LedgerState::Running});
+        fixture.receive(home, RequestOpened{{1, 1}, homeIncarnation, homeSerial, LedgerState::Running});
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
         const RunId run{{1, 1}, 1, 1};
         RequestState state = stateOf({1, 1}, LedgerState::Running);
         state.run = run;
-        fixture.hear(home, state);
+        fixture.receive(home, state);
         fixture.complete(home, run, "ordered");
         const auto answer = fixture.effect<CallerAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Completed);
@@ -260,4 +260,4 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(HomesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(HomeClientTest);
--- a/test/bergamottide/entry/resultbuffer.cpp
+++ b/test/bergamottide/entry/resultbuffer.cpp
@@ -11,14 +11,14 @@
 class ResultBufferTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ResultBufferTest);
-    CPPUNIT_TEST(anyOrderOfPiecesGivesTheWholeResult);
-    CPPUNIT_TEST(refuseMoreThanTheLimit);
+    CPPUNIT_TEST(piecesInAnyOrderGiveTheCompleteResult);
+    CPPUNIT_TEST(rejectPiecesAboveTheLimit);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void anyOrderOfPiecesGivesTheWholeResult()
+    void piecesInAnyOrderGiveTheCompleteResult()
     {
-        const bool held = rc::check("any order, overlap and repetition", [](const std::string &text) {
+        const bool passed = rc::check("any order, overlap and repetition", [](const std::string &text) {
             ResultBuffer buffer{text.size()};
             buffer.finish(text.size(), XXH3_64bits(text.data(), text.size()));
             const auto cuts =
@@ -28,13 +28,13 @@
                 RC_ASSERT(buffer.add(cut, text.substr(cut, length)) != PieceResult::TooLarge);
             }
             RC_ASSERT(text.starts_with(buffer.bytes()));
-            static_cast<void>(buffer.add(buffer.contiguous(), text.substr(buffer.contiguous())));
-            RC_ASSERT(buffer.whole() && buffer.verified());
+            static_cast<void>(buffer.add(buffer.contiguousBytes(), text.substr(buffer.contiguousBytes())));
+            RC_ASSERT(buffer.isComplete() && buffer.isVerified());
         });
-        CPPUNIT_ASSERT(held);
+        CPPUNIT_ASSERT(passed);
     }
 
-    void refuseMoreThanTheLimit()
+    void rejectPiecesAboveTheLimit()
     {
         ResultBuffer buffer{4};
         CPPUNIT_ASSERT(buffer.add(0, "abcde") == PieceResult::TooLarge);
--- a/test/bergamottide/ledger/keyownership.cpp
+++ b/test/bergamottide/ledger/keyownership.cpp
@@ -37,11 +37,11 @@
     return {number * 0x9e3779b97f4a7c15ULL, number};
 }
 
-/*! @brief Returns a request whose home is one instance among some. */
-RequestId requestAt(const std::string &home, const std::vector<std::string> &names)
+/*! @brief Returns a request whose home is a given instance. */
+RequestId requestWithHome(const std::string &home, const std::vector<std::string> &names)
 {
     std::uint64_t number = 1;
-    while (keyHome(requestOf(number), viewOf(names), pool()).text() != home) {
+    while (homeForKey(requestOf(number), viewOf(names), pool()).text() != home) {
         ++number;
     }
     return requestOf(number);
@@ -52,33 +52,33 @@
 class KeyOwnershipTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(KeyOwnershipTest);
-    CPPUNIT_TEST(homeIsOneInstanceAndMovesOnlyWithIt);
-    CPPUNIT_TEST(freshSideRefusesForOneWindow);
-    CPPUNIT_TEST(keysOfAnotherAreRefused);
+    CPPUNIT_TEST(onlyKeysOfARemovedInstanceMove);
+    CPPUNIT_TEST(newSidecarRefusesForOneWindow);
+    CPPUNIT_TEST(keysOfAnotherHomeAreRefused);
     CPPUNIT_TEST(gainedKeysAreRefusedForOneWindow);
-    CPPUNIT_TEST(sideThatComesBackStartsAnew);
+    CPPUNIT_TEST(returningSidecarRefusesForOneWindow);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void homeIsOneInstanceAndMovesOnlyWithIt()
+    void onlyKeysOfARemovedInstanceMove()
     {
         const InstanceView all = viewOf({"a", "b", "c"});
         const InstanceView less = viewOf({"a", "b"});
         std::map<InstanceName, int> homes;
         for (std::uint64_t number = 0; number < 300; ++number) {
-            const InstanceName home = keyHome(requestOf(number), all, pool());
+            const InstanceName home = homeForKey(requestOf(number), all, pool());
             ++homes[home];
             if (home.text() != "c") {
-                CPPUNIT_ASSERT(keyHome(requestOf(number), less, pool()) == home);
+                CPPUNIT_ASSERT(homeForKey(requestOf(number), less, pool()) == home);
             }
         }
         for (const auto &[name, count] : homes) {
             CPPUNIT_ASSERT(count > 60 && count < 140);
         }
-        CPPUNIT_ASSERT(keyHome(requestOf(1), viewOf({}), pool()).empty());
+        CPPUNIT_ASSERT(homeForKey(requestOf(1), viewOf({}), pool()).empty());
     }
 
-    void freshSideRefusesForOneWindow()
+    void newSidecarRefusesForOneWindow()
     {
         KeyOwnership keys;
         CPPUNIT_ASSERT(keys.judge(requestOf(1), InstanceName{"a"}, TimePoint{}, window).reason == Reason::StaleView);
@@ -88,13 +88,13 @@
         CPPUNIT_ASSERT(keys.judge(requestOf(1), InstanceName{"a"}, TimePoint{} + 10s, window).reason == Reason::None);
     }
 
-    void keysOfAnotherAreRefused()
+    void keysOfAnotherHomeAreRefused()
     {
         KeyOwnership keys;
         keys.update(viewOf({"a", "b"}), pool(), TimePoint{}, window);
-        const RequestId of = requestAt("b", {"a", "b"});
-        CPPUNIT_ASSERT(keys.judge(of, InstanceName{"a"}, TimePoint{} + 1h, window).reason == Reason::StaleView);
-        CPPUNIT_ASSERT(keys.judge(of, InstanceName{"b"}, TimePoint{} + 1h, window).reason == Reason::None);
+        const RequestId request = requestWithHome("b", {"a", "b"});
+        CPPUNIT_ASSERT(keys.judge(request, InstanceName{"a"}, TimePoint{} + 1h, window).reason == Reason::StaleView);
+        CPPUNIT_ASSERT(keys.judge(request, InstanceName{"b"}, TimePoint{} + 1h, window).reason == Reason::None);
     }
 
     void gainedKeysAreRefusedForOneWindow()
@@ -102,23 +102,23 @@
         KeyOwnership keys;
         keys.update(viewOf({"a", "b"}), pool(), TimePoint{}, window);
         keys.update(viewOf({"a"}), pool(), TimePoint{} + 1h, window);
-        const RequestId gained = requestAt("b", {"a", "b"});
-        const RequestId kept = requestAt("a", {"a", "b"});
-        const TimePoint soon = TimePoint{} + 1h + 9s;
-        CPPUNIT_ASSERT(keys.judge(gained, InstanceName{"a"}, soon, window).reason == Reason::Warming);
-        CPPUNIT_ASSERT(keys.judge(kept, InstanceName{"a"}, soon, window).reason == Reason::None);
-        CPPUNIT_ASSERT(keys.judge(gained, InstanceName{"a"}, soon + 1s, window).reason == Reason::None);
+        const RequestId gained = requestWithHome("b", {"a", "b"});
+        const RequestId kept = requestWithHome("a", {"a", "b"});
+        const TimePoint withinWindow = TimePoint{} + 1h + 9s;
+        CPPUNIT_ASSERT(keys.judge(gained, InstanceName{"a"}, withinWindow, window).reason == Reason::Warming);
+        CPPUNIT_ASSERT(keys.judge(kept, InstanceName{"a"}, withinWindow, window).reason == Reason::None);
+        CPPUNIT_ASSERT(keys.judge(gained, InstanceName{"a"}, withinWindow + 1s, window).reason == Reason::None);
     }
 
-    void sideThatComesBackStartsAnew()
+    void returningSidecarRefusesForOneWindow()
     {
         KeyOwnership keys;
         keys.update(viewOf({"a", "b"}), pool(), TimePoint{}, window);
         keys.update(viewOf({"b"}), pool(), TimePoint{} + 1h, window);
         keys.update(viewOf({"a", "b"}), pool(), TimePoint{} + 1h + 1s, window);
-        const RequestId kept = requestAt("a", {"a", "b"});
-        const TimePoint soon = TimePoint{} + 1h + 2s;
-        CPPUNIT_ASSERT(keys.judge(kept, InstanceName{"a"}, soon, window).reason == Reason::Warming);
+        const RequestId kept = requestWithHome("a", {"a", "b"});
+        const TimePoint withinWindow = TimePoint{} + 1h + 2s;
+        CPPUNIT_ASSERT(keys.judge(kept, InstanceName{"a"}, withinWindow, window).reason == Reason::Warming);
     }
 };
 
--- a/test/bergamottide/ledger/ledger.cpp
+++ b/test/bergamottide/ledger/ledger.cpp
@@ -25,8 +25,8 @@
     return {request(number), 2, attempt};
 }
 
-/*! @brief The ledger's promises written down plainly: a list that is searched and never reordered. */
-class NaiveLedger
+/*! @brief Reference implementation of the ledger: a vector with linear search. */
+class ReferenceLedger
 {
 public:
     LedgerOpening open(const RequestId &id, Duration remaining, bool keyed, TimePoint now)
@@ -39,13 +39,13 @@
         if (remaining <= Duration{}) {
             return {Reason::InvalidDeadline, Duration{}, {}};
         }
-        if (m_records.size() >= limits.records) {
+        if (m_records.size() >= limits.maxRecords) {
             return {Reason::LedgerFull, Duration{}, {}};
         }
         LedgerRecord record{id, Serial{++m_last}, LedgerState::Opened,
                             {}, now + remaining,  now + remaining + limits.retention};
         if (keyed) {
-            record.keptUntil = std::max(record.keptUntil, now + limits.keyMemory);
+            record.retainUntil = std::max(record.retainUntil, now + limits.keyRetention);
         }
         m_records.push_back(record);
         return {Reason::None, Duration{}, record};
@@ -69,12 +69,12 @@
         return Reason::None;
     }
 
-    void move(Serial serial, LedgerState from, LedgerState to, TimePoint keptUntil)
+    void transition(Serial serial, LedgerState from, LedgerState to, TimePoint retainUntil)
     {
         LedgerRecord *record = find(serial);
         if (record != nullptr && record->state == from) {
             record->state = to;
-            record->keptUntil = std::max(record->keptUntil, keptUntil);
+            record->retainUntil = std::max(record->retainUntil, retainUntil);
         }
     }
 
@@ -86,8 +86,8 @@
             }
         }
         std::erase_if(m_records, [now](const LedgerRecord &record) {
-            const bool over = record.state == LedgerState::Sealed || record.state == LedgerState::Finished;
-            return over && record.keptUntil < now;
+            const bool isFinal = record.state == LedgerState::Sealed || record.state == LedgerState::Finished;
+            return isFinal && record.retainUntil < now;
         });
     }
 
@@ -111,8 +111,8 @@
     std::vector<LedgerRecord> m_records;
 };
 
-/*! @brief Both ledgers, taking the same steps. */
-class Pair
+/*! @brief Applies the same random steps to the ledger and its reference and compares them. */
+class LedgerPair
 {
 public:
     void step(std::uint32_t word)
@@ -121,7 +121,7 @@
         const Serial serial{word / 8 % 12};
         m_now += Duration{word / 128 % 16 * 100ms};
         (void)m_ledger.expire(m_now);
-        m_naive.expire(m_now);
+        m_reference.expire(m_now);
         switch (word % 8) {
         case 0:
         case 1:
@@ -133,60 +133,60 @@
             break;
         case 4:
             m_ledger.markRunning(serial);
-            m_naive.move(serial, LedgerState::Queued, LedgerState::Running, TimePoint{});
+            m_reference.transition(serial, LedgerState::Queued, LedgerState::Running, TimePoint{});
             break;
         case 5:
             m_ledger.markFinished(serial, m_now + 2s);
-            m_naive.move(serial, LedgerState::Running, LedgerState::Finished, m_now + 2s);
+            m_reference.transition(serial, LedgerState::Running, LedgerState::Finished, m_now + 2s);
             break;
         default:
             (void)m_ledger.seal(serial, m_now + 2s);
-            m_naive.move(serial, LedgerState::Opened, LedgerState::Sealed, m_now + 2s);
-            m_naive.move(serial, LedgerState::Queued, LedgerState::Sealed, m_now + 2s);
+            m_reference.transition(serial, LedgerState::Opened, LedgerState::Sealed, m_now + 2s);
+            m_reference.transition(serial, LedgerState::Queued, LedgerState::Sealed, m_now + 2s);
             break;
         }
         compare();
     }
 
-    /*! @brief Runs handed out for each serial. */
+    /*! @brief Number of successful claims of each serial. */
     std::map<Serial, int> claims;
 
 private:
     void open(std::uint64_t number, Duration remaining, bool keyed)
     {
-        const LedgerOpening left = m_ledger.open(request(number), remaining, keyed, limits, m_now);
-        const LedgerOpening right = m_naive.open(request(number), remaining, keyed, m_now);
-        RC_ASSERT(left.reason == right.reason);
-        RC_ASSERT(left.record.serial == right.record.serial);
-        RC_ASSERT(left.record.state == right.record.state);
+        const LedgerOpening actual = m_ledger.open(request(number), remaining, keyed, limits, m_now);
+        const LedgerOpening expected = m_reference.open(request(number), remaining, keyed, m_now);
+        RC_ASSERT(actual.reason == expected.reason);
+        RC_ASSERT(actual.record.serial == expected.record.serial);
+        RC_ASSERT(actual.record.state == expected.record.state);
     }
 
     void claim(Serial serial, std::uint64_t offset)
     {
         const LedgerRecord *record = m_ledger.find(serial);
         const std::uint64_t number = record == nullptr ? 0 : record->request.low + (offset == 3 ? 1 : 0);
-        const Reason left = m_ledger.claim(serial, run(number), m_now);
-        RC_ASSERT(left == m_naive.claim(serial, run(number), m_now));
-        claims[serial] += left == Reason::None ? 1 : 0;
+        const Reason actual = m_ledger.claim(serial, run(number), m_now);
+        RC_ASSERT(actual == m_reference.claim(serial, run(number), m_now));
+        claims[serial] += actual == Reason::None ? 1 : 0;
     }
 
     void compare()
     {
-        RC_ASSERT(m_ledger.size() == m_naive.size());
-        RC_ASSERT(m_ledger.size() <= limits.records);
+        RC_ASSERT(m_ledger.size() == m_reference.size());
+        RC_ASSERT(m_ledger.size() <= limits.maxRecords);
         for (std::uint64_t number = 0; number < 16; ++number) {
-            const LedgerRecord *left = m_ledger.find(Serial{number});
-            const LedgerRecord *right = m_naive.find(Serial{number});
-            RC_ASSERT((left == nullptr) == (right == nullptr));
-            if (left != nullptr) {
-                RC_ASSERT(left->state == right->state);
-                RC_ASSERT(left->run == right->run);
+            const LedgerRecord *actual = m_ledger.find(Serial{number});
+            const LedgerRecord *expected = m_reference.find(Serial{number});
+            RC_ASSERT((actual == nullptr) == (expected == nullptr));
+            if (actual != nullptr) {
+                RC_ASSERT(actual->state == expected->state);
+                RC_ASSERT(actual->run == expected->run);
             }
         }
     }
 
     Ledger m_ledger;
-    NaiveLedger m_naive;
+    ReferenceLedger m_reference;
     TimePoint m_now;
 };
 
@@ -195,20 +195,20 @@
 class LedgerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(LedgerTest);
-    CPPUNIT_TEST(behavesLikeTheNaiveLedger);
+    CPPUNIT_TEST(behavesLikeTheReferenceLedger);
     CPPUNIT_TEST(repeatedOpenGivesTheSameSerial);
-    CPPUNIT_TEST(fullLedgerRefusesAndForgetsNothing);
-    CPPUNIT_TEST(runInProgressIsNeverForgotten);
-    CPPUNIT_TEST(keyedRecordIsKeptForTheKeyMemory);
-    CPPUNIT_TEST(sealTooLateTellsTheTruth);
+    CPPUNIT_TEST(fullLedgerRefusesAndRemovesNothing);
+    CPPUNIT_TEST(runInProgressIsNeverRemoved);
+    CPPUNIT_TEST(keyedRecordIsKeptForTheKeyRetention);
+    CPPUNIT_TEST(lateSealReportsTheActualState);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void behavesLikeTheNaiveLedger()
+    void behavesLikeTheReferenceLedger()
     {
         checkProperty(
             [](const std::vector<std::uint32_t> &words) {
-                Pair pair;
+                LedgerPair pair;
                 for (const std::uint32_t word : words) {
                     pair.step(word);
                 }
@@ -230,21 +230,21 @@
         CPPUNIT_ASSERT(sealed.record.serial == first && sealed.record.state == LedgerState::Sealed);
     }
 
-    void fullLedgerRefusesAndForgetsNothing()
+    void fullLedgerRefusesAndRemovesNothing()
     {
         Ledger ledger;
-        for (std::uint64_t number = 0; number < limits.records; ++number) {
+        for (std::uint64_t number = 0; number < limits.maxRecords; ++number) {
             CPPUNIT_ASSERT(ledger.open(request(number), 9s, false, limits, TimePoint{}).reason == Reason::None);
         }
         const LedgerOpening refused = ledger.open(request(9), 9s, false, limits, TimePoint{});
         CPPUNIT_ASSERT(refused.reason == Reason::LedgerFull);
         CPPUNIT_ASSERT(refused.retryAfter > Duration{});
-        for (std::uint64_t number = 0; number < limits.records; ++number) {
+        for (std::uint64_t number = 0; number < limits.maxRecords; ++number) {
             CPPUNIT_ASSERT(ledger.knows(request(number)));
         }
     }
 
-    void runInProgressIsNeverForgotten()
+    void runInProgressIsNeverRemoved()
     {
         Ledger ledger;
         const Serial serial = ledger.open(request(1), 1s, false, limits, TimePoint{}).record.serial;
@@ -255,7 +255,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger.unfinished());
     }
 
-    void keyedRecordIsKeptForTheKeyMemory()
+    void keyedRecordIsKeptForTheKeyRetention()
     {
         Ledger ledger;
         const Serial serial = ledger.open(request(1), 100ms, true, limits, TimePoint{}).record.serial;
@@ -267,7 +267,7 @@
         CPPUNIT_ASSERT(ledger.issued(serial));
     }
 
-    void sealTooLateTellsTheTruth()
+    void lateSealReportsTheActualState()
     {
         Ledger ledger;
         const Serial serial = ledger.open(request(1), 9s, false, limits, TimePoint{}).record.serial;
--- a/test/bergamottide/orders/orderplanner.cpp
+++ b/test/bergamottide/orders/orderplanner.cpp
@@ -49,23 +49,24 @@
     return view;
 }
 
-EndpointReport holding(const std::vector<ModelName> &models, std::uint64_t fence = 0)
+EndpointReport reportOf(const std::vector<ModelName> &models, std::uint64_t fence = 0)
 {
     return {0, 0, models, fence};
 }
 
-/*! @brief A planner of the only engine, under a virtual clock. */
-struct Single
+/*! @brief Planner for a pool with a single engine, under a virtual clock. */
+struct SingleEngine
 {
-    Single()
+    SingleEngine()
     {
         planner.plan(documentOf(1), viewOf(1), now);
     }
 
-    std::optional<GiveOrder> read(const std::vector<ModelName> &models, Duration later = 3s, std::uint64_t fence = 0)
+    std::optional<GiveOrder> nextAfterReport(const std::vector<ModelName> &models, Duration later = 3s,
+                                             std::uint64_t fence = 0)
     {
         now += later;
-        planner.onReport(holding(models, fence), now);
+        planner.onReport(reportOf(models, fence), now);
         return planner.next(now);
     }
 
@@ -78,29 +79,29 @@
 class OrderPlannerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(OrderPlannerTest);
-    CPPUNIT_TEST(modelsAreDueAtTheirReplicasAndMoveLittle);
-    CPPUNIT_TEST(leavingEngineHoldsNothing);
-    CPPUNIT_TEST(ordersFollowUntilTheEngineMatches);
-    CPPUNIT_TEST(oneOrderIsInFlightAndReadBackBeforeTheNext);
-    CPPUNIT_TEST(unsureOrderIsReadAnewNotRepeated);
-    CPPUNIT_TEST(fencesGrowAboveVersionOrdersAndReports);
-    CPPUNIT_TEST(afterAPauseNothingOldIsActedOn);
-    CPPUNIT_TEST(refusedOrderWaitsLongerEachTime);
-    CPPUNIT_TEST(surplusModelIsUnloadedLate);
-    CPPUNIT_TEST(loadsAreSpreadBelowTheStoresRate);
+    CPPUNIT_TEST(modelsAreAssignedToTheirReplicasAndMoveLittle);
+    CPPUNIT_TEST(leavingEngineIsAssignedNothing);
+    CPPUNIT_TEST(ordersAreIssuedUntilTheEngineMatches);
+    CPPUNIT_TEST(nextOrderNeedsAnAnswerAndANewReport);
+    CPPUNIT_TEST(timedOutOrderIsNotRepeated);
+    CPPUNIT_TEST(fencingNumbersExceedVersionOrdersAndReports);
+    CPPUNIT_TEST(discardedReportIsNotUsed);
+    CPPUNIT_TEST(refusedOrdersBackOffExponentially);
+    CPPUNIT_TEST(unassignedModelIsUnloadedAfterADelay);
+    CPPUNIT_TEST(loadsStayBelowTheRateOfTheWeightStore);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void modelsAreDueAtTheirReplicasAndMoveLittle()
+    void modelsAreAssignedToTheirReplicasAndMoveLittle()
     {
         const auto holders = [](const InstanceView &view) {
             std::set<InstanceName> names;
             std::set<std::uint32_t> ranks;
             for (const auto &[name, instance] : view.instances) {
-                for (const DueModel &due : modelsDue(documentOf(4), view, name)) {
+                for (const AssignedModel &assigned : assignedModels(documentOf(4), view, name)) {
                     names.insert(name);
-                    ranks.insert(due.rank);
-                    CPPUNIT_ASSERT_EQUAL(std::string{"2"}, due.version);
+                    ranks.insert(assigned.rank);
+                    CPPUNIT_ASSERT_EQUAL(std::string{"2"}, assigned.version);
                 }
             }
             CPPUNIT_ASSERT(ranks == std::set<std::uint32_t>({0, 1, 2, 3}));
@@ -115,88 +116,88 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, kept.size());
     }
 
-    void leavingEngineHoldsNothing()
+    void leavingEngineIsAssignedNothing()
     {
         InstanceView view = viewOf(1);
         view.instances.begin()->second.leaving = true;
-        CPPUNIT_ASSERT(modelsDue(documentOf(1), view, InstanceName{"side-0"}).empty());
+        CPPUNIT_ASSERT(assignedModels(documentOf(1), view, InstanceName{"side-0"}).empty());
     }
 
-    void ordersFollowUntilTheEngineMatches()
+    void ordersAreIssuedUntilTheEngineMatches()
     {
-        Single single;
-        const GiveOrder load = *single.read({}, 60s);
+        SingleEngine single;
+        const GiveOrder load = *single.nextAfterReport({}, 60s);
         CPPUNIT_ASSERT(load.kind == OrderKind::LoadModel && load.model == large() && load.version == "2");
         single.planner.onAnswer({load.fence, true}, single.now);
-        const GiveOrder adapter = *single.read({large()});
+        const GiveOrder adapter = *single.nextAfterReport({large()});
         CPPUNIT_ASSERT(adapter.kind == OrderKind::LoadAdapter && adapter.adapter.text() == "a");
         single.planner.onAnswer({adapter.fence, true}, single.now);
-        CPPUNIT_ASSERT(!single.read({large()}));
+        CPPUNIT_ASSERT(!single.nextAfterReport({large()}));
         // The engine restarts empty.
-        CPPUNIT_ASSERT(single.read({})->kind == OrderKind::LoadModel);
+        CPPUNIT_ASSERT(single.nextAfterReport({})->kind == OrderKind::LoadModel);
     }
 
-    void oneOrderIsInFlightAndReadBackBeforeTheNext()
+    void nextOrderNeedsAnAnswerAndANewReport()
     {
-        Single single;
-        const GiveOrder load = *single.read({}, 60s);
-        CPPUNIT_ASSERT(!single.read({}));
+        SingleEngine single;
+        const GiveOrder load = *single.nextAfterReport({}, 60s);
+        CPPUNIT_ASSERT(!single.nextAfterReport({}));
         single.planner.onAnswer({load.fence + 1, true}, single.now);
         CPPUNIT_ASSERT(single.planner.inFlight());
         single.planner.onAnswer({load.fence, true}, single.now);
-        // A report within the engine's lag may still show the state before the order.
-        CPPUNIT_ASSERT(!single.read({}, 1s));
-        CPPUNIT_ASSERT(single.read({}, 2s));
+        // A report within the lag of the engine's reports may show the state before the order.
+        CPPUNIT_ASSERT(!single.nextAfterReport({}, 1s));
+        CPPUNIT_ASSERT(single.nextAfterReport({}, 2s));
     }
 
-    void unsureOrderIsReadAnewNotRepeated()
+    void timedOutOrderIsNotRepeated()
     {
-        Single single;
-        const GiveOrder load = *single.read({}, 60s);
-        CPPUNIT_ASSERT(!single.read({}, 119s));
-        CPPUNIT_ASSERT(!single.read({}, 2s));
+        SingleEngine single;
+        const GiveOrder load = *single.nextAfterReport({}, 60s);
+        CPPUNIT_ASSERT(!single.nextAfterReport({}, 119s));
+        CPPUNIT_ASSERT(!single.nextAfterReport({}, 2s));
         CPPUNIT_ASSERT(!single.planner.inFlight());
-        const GiveOrder next = *single.read({large()});
+        const GiveOrder next = *single.nextAfterReport({large()});
         CPPUNIT_ASSERT(next.kind == OrderKind::SetVersion && next.fence > load.fence);
     }
 
-    void fencesGrowAboveVersionOrdersAndReports()
+    void fencingNumbersExceedVersionOrdersAndReports()
     {
-        Single single;
-        const std::uint64_t first = single.read({}, 60s)->fence;
+        SingleEngine single;
+        const std::uint64_t first = single.nextAfterReport({}, 60s)->fence;
         single.planner.onAnswer({first, true}, single.now);
-        const std::uint64_t second = single.read({}, 3s, first + 100)->fence;
+        const std::uint64_t second = single.nextAfterReport({}, 3s, first + 100)->fence;
         CPPUNIT_ASSERT(second > first + 100);
         single.planner.onAnswer({second, true}, single.now);
         single.planner.plan(documentOf(1, 2), viewOf(1), single.now);
         OrderPlanner replaced{InstanceName{"side-0"}, 1};
         replaced.plan(documentOf(1, 1), viewOf(1), single.now);
-        const std::uint64_t newer = single.read({}, 60s)->fence;
+        const std::uint64_t newer = single.nextAfterReport({}, 60s)->fence;
         CPPUNIT_ASSERT(newer > second);
-        replaced.onReport(holding({}, 0), single.now);
+        replaced.onReport(reportOf({}, 0), single.now);
         CPPUNIT_ASSERT(replaced.next(single.now + 60s)->fence < newer);
     }
 
-    void afterAPauseNothingOldIsActedOn()
+    void discardedReportIsNotUsed()
     {
-        Single single;
+        SingleEngine single;
         single.now += 60s;
-        single.planner.onReport(holding({}), single.now);
+        single.planner.onReport(reportOf({}), single.now);
         single.planner.forgetReading(single.now);
         CPPUNIT_ASSERT(!single.planner.next(single.now));
-        CPPUNIT_ASSERT(!single.read({}, 1s));
-        CPPUNIT_ASSERT(single.read({}, 2s));
+        CPPUNIT_ASSERT(!single.nextAfterReport({}, 1s));
+        CPPUNIT_ASSERT(single.nextAfterReport({}, 2s));
     }
 
-    void refusedOrderWaitsLongerEachTime()
+    void refusedOrdersBackOffExponentially()
     {
-        Single single;
+        SingleEngine single;
         Duration last{};
         for (int round = 0; round < 3; ++round) {
             Duration waited{};
-            std::optional<GiveOrder> order = single.read({}, 60s);
+            std::optional<GiveOrder> order = single.nextAfterReport({}, 60s);
             single.planner.onAnswer({order->fence, false}, single.now);
-            while (!(order = single.read({}, 1s))) {
+            while (!(order = single.nextAfterReport({}, 1s))) {
                 waited += 1s;
             }
             single.planner.onAnswer({order->fence, true}, single.now);
@@ -204,36 +205,36 @@
             last = waited;
         }
         CPPUNIT_ASSERT(last < 6s);
-        std::optional<GiveOrder> order = single.read({}, 60s);
+        std::optional<GiveOrder> order = single.nextAfterReport({}, 60s);
         single.planner.onAnswer({order->fence, false}, single.now);
-        order = single.read({}, 60s);
+        order = single.nextAfterReport({}, 60s);
         single.planner.onAnswer({order->fence, false}, single.now);
-        CPPUNIT_ASSERT(!single.read({}, 9s));
-        CPPUNIT_ASSERT(single.read({}, 2s));
+        CPPUNIT_ASSERT(!single.nextAfterReport({}, 9s));
+        CPPUNIT_ASSERT(single.nextAfterReport({}, 2s));
     }
 
-    void surplusModelIsUnloadedLate()
+    void unassignedModelIsUnloadedAfterADelay()
     {
-        Single single;
+        SingleEngine single;
         const ModelName old{"old"};
-        const GiveOrder version = *single.read({large(), old});
+        const GiveOrder version = *single.nextAfterReport({large(), old});
         single.planner.onAnswer({version.fence, true}, single.now);
-        const GiveOrder adapter = *single.read({large(), old});
+        const GiveOrder adapter = *single.nextAfterReport({large(), old});
         single.planner.onAnswer({adapter.fence, true}, single.now);
-        CPPUNIT_ASSERT(!single.read({large(), old}));
-        CPPUNIT_ASSERT(!single.read({large(), old}, 50s));
-        const GiveOrder unload = *single.read({large(), old}, 11s);
+        CPPUNIT_ASSERT(!single.nextAfterReport({large(), old}));
+        CPPUNIT_ASSERT(!single.nextAfterReport({large(), old}, 50s));
+        const GiveOrder unload = *single.nextAfterReport({large(), old}, 11s);
         CPPUNIT_ASSERT(unload.kind == OrderKind::UnloadModel && unload.model == old);
     }
 
-    void loadsAreSpreadBelowTheStoresRate()
+    void loadsStayBelowTheRateOfTheWeightStore()
     {
         const InstanceView view = viewOf(40);
         std::map<std::int64_t, int> starts;
         for (const auto &[name, instance] : view.instances) {
             OrderPlanner planner{name, 1};
             planner.plan(documentOf(40), view, TimePoint{});
-            planner.onReport(holding({}), TimePoint{} + 1us);
+            planner.onReport(reportOf({}), TimePoint{} + 1us);
             for (std::int64_t second = 0; second < 500; ++second) {
                 if (planner.next(TimePoint{} + std::chrono::seconds{second})) {
                     ++starts[second / 10];
@@ -243,7 +244,7 @@
         }
         int total = 0;
         for (const auto &[turn, count] : starts) {
-            // 20 GB at 2 GB a second: one start for every ten seconds, two where jitter meets.
+            // 20 GB at 2 GB per second: one start every ten seconds, two because of jitter.
             CPPUNIT_ASSERT(count <= 2);
             total += count;
         }
