--- a/bench/admission.cpp
+++ b/bench/admission.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/admission/admission.h"
+#include "bergamottide/admission/admissioncontrol.h"
 
 #include <benchmark/benchmark.h>
 
@@ -21,7 +21,7 @@
     const std::array<std::string, 4> pools{"encoders", "retrievers", "rerankers", "engines"};
     EndpointTable table{RegionName{"region"}, ZoneName{"zone-0"}};
     Placement placement{table, 1};
-    Admission admission{placement, table};
+    AdmissionControl admission{placement, table};
     const TimePoint now{std::chrono::seconds{1}};
     InstanceView view;
     Pipeline pipeline{PipelineName{"answer"}, {}};
@@ -30,7 +30,7 @@
         for (std::uint32_t number = 0; number < endpoints; ++number) {
             Instance instance;
             instance.name = InstanceName{pool + std::to_string(number)};
-            instance.role = Role::Side;
+            instance.role = Role::Sidecar;
             instance.region = RegionName{"region"};
             instance.zone = ZoneName{"zone-" + std::to_string(number % 3)};
             instance.pool = PoolName{pool};
@@ -50,7 +50,7 @@
     const AdmissionQuery query{workspace, pipeline, model, kind, 0, costs, std::chrono::seconds{9}};
     const Policy policy;
     for (auto step : state) {
-        benchmark::DoNotOptimize(admission.judge(query, policy, 2, now));
+        benchmark::DoNotOptimize(admission.decide(query, policy, 2, now));
     }
 }
 
--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -7,7 +7,7 @@
 #include "bergamottide/entry/entryreducer.h"
 #include "bergamottide/net/codec.h"
 #include "bergamottide/net/peertransport.h"
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 
 #include <nlohmann/json.hpp>
 #include <xxhash.h>
@@ -98,7 +98,7 @@
     for (int number = 0; number < sides; ++number) {
         Instance instance;
         instance.name = InstanceName{"side-" + std::to_string(number)};
-        instance.role = Role::Side;
+        instance.role = Role::Sidecar;
         instance.region = RegionName{"west"};
         instance.zone = ZoneName{"a"};
         instance.address = "10.0.0.1:4000";
@@ -192,7 +192,7 @@
     message.state = RunState::Completed;
     message.length = result.size();
     message.digest = XXH3_64bits(result.data(), result.size());
-    message.service = std::chrono::milliseconds{5};
+    message.serviceTime = std::chrono::milliseconds{5};
     return message;
 }
 
@@ -234,7 +234,7 @@
         Entry entry{129, count};
         const double entryHeap = heapBytes() - before;
         before = heapBytes();
-        SideReducer side{
+        SidecarReducer side{
             {InstanceName{"side-0"}, RegionName{"west"}, ZoneName{"a"}, PoolName{"engines"}, Incarnation{1}, 1}};
         static_cast<void>(side.apply(ConfigChanged{std::make_shared<Document>(documentOf(count)), 1},
                                      TimePoint{std::chrono::seconds{1}}));
@@ -350,7 +350,7 @@
     Json rows = Json::array();
     const InstanceName entry{"entry"};
     for (const int count : recordCounts) {
-        SideReducer side{
+        SidecarReducer side{
             {InstanceName{"side-0"}, RegionName{"west"}, ZoneName{"a"}, PoolName{"engines"}, Incarnation{1}, 1}};
         const TimePoint now{std::chrono::seconds{1}};
         static_cast<void>(side.apply(ConfigChanged{std::make_shared<Document>(documentOf(5)), 1}, now));
@@ -362,7 +362,7 @@
             for (int number = 0; number < count; ++number) {
                 const OpenRequest request{submission(number, false).request, WorkspaceName{"workspace-0"},
                                           std::chrono::seconds{9}, false};
-                for (const SideEffect &effect : side.apply(PeerMessage{entry, request}, now)) {
+                for (const SidecarEffect &effect : side.apply(PeerMessage{entry, request}, now)) {
                     const auto *send = std::get_if<SendMessage>(&effect);
                     const auto *opened = send != nullptr ? std::get_if<RequestOpened>(&send->message) : nullptr;
                     if (opened != nullptr) {
@@ -377,8 +377,8 @@
             for (int number = 0; number < count; ++number) {
                 const StartRun start = runOf(number, serials.at(static_cast<std::size_t>(number)));
                 static_cast<void>(side.apply(PeerMessage{entry, start}, now));
-                static_cast<void>(side.apply(EndpointPiece{start.run, result, 1}, now));
-                static_cast<void>(side.apply(EndpointFinished{start.run, EndpointResult::Completed, {}}, now));
+                static_cast<void>(side.apply(EndpointResultPiece{start.run, result, 1}, now));
+                static_cast<void>(side.apply(EndpointRunEnded{start.run, EndpointResult::Completed, {}}, now));
                 static_cast<void>(side.apply(PeerMessage{entry, RunAcknowledged{start.run}}, now));
             }
         });
@@ -396,7 +396,7 @@
 {
     Json rows = Json::array();
     for (const int count : subscriberCounts) {
-        SideReducer side{
+        SidecarReducer side{
             {InstanceName{"side-0"}, RegionName{"west"}, ZoneName{"a"}, PoolName{"engines"}, Incarnation{1}, 1}};
         TimePoint now{std::chrono::seconds{1}};
         const double before = heapBytes();
@@ -412,7 +412,7 @@
         const double time = timeOf([&] {
             for (int round = 0; round < rounds; ++round) {
                 now += document.policy.reportPeriod;
-                for (const SideEffect &effect : side.apply(Tick{}, now)) {
+                for (const SidecarEffect &effect : side.apply(Tick{}, now)) {
                     const auto *send = std::get_if<SendMessage>(&effect);
                     if (send != nullptr && std::holds_alternative<LoadReport>(send->message)) {
                         bytes += static_cast<double>(toFrame(send->message).ByteSizeLong());
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -1,5 +1,5 @@
 #include "bergamottide/placement/placement.h"
-#include "bergamottide/placement/ejector.h"
+#include "bergamottide/placement/outlierejector.h"
 
 #include <benchmark/benchmark.h>
 
@@ -24,7 +24,7 @@
         for (std::uint32_t number = 0; number < endpoints; ++number) {
             Instance instance;
             instance.name = InstanceName{"engine-" + std::to_string(number)};
-            instance.role = Role::Side;
+            instance.role = Role::Sidecar;
             instance.region = RegionName{"region-" + std::to_string(number % 31 / 4)};
             instance.zone = ZoneName{"zone-" + std::to_string(number % 31)};
             instance.pool = pool;
@@ -78,7 +78,7 @@
 void review(benchmark::State &state)
 {
     Fleet fleet{static_cast<std::uint32_t>(state.range(0))};
-    Ejector ejector{fleet.table};
+    OutlierEjector ejector{fleet.table};
     for (auto step : state) {
         benchmark::DoNotOptimize(ejector.review(fleet.policy, fleet.now));
     }
--- a/bench/stagequeue.cpp
+++ b/bench/stagequeue.cpp
@@ -74,7 +74,7 @@
             1, 70, std::chrono::milliseconds{150}, std::chrono::microseconds{1800}, 1'200'000, std::chrono::seconds{4}};
         out->pools["rerankers"] = Pool{PoolName{"rerankers"}, 100, batch, {}};
         out->pools["engines"] = Pool{PoolName{"engines"}, 100, {}, EngineSpec{32, 350'000}};
-        out->index();
+        out->buildIndex();
         return out;
     }
 
@@ -91,7 +91,7 @@
         task.pool = PoolName{"rerankers"};
         task.rank = static_cast<int>(m_tasks % 2) * 2;
         task.deadline = m_now + std::chrono::seconds{4};
-        task.due = m_now + std::chrono::milliseconds{600};
+        task.latestStart = m_now + std::chrono::milliseconds{600};
         task.attempt = "attempt-" + std::to_string(m_tasks);
         task.stage = 2;
         task.pieces = piecesPerTask;
@@ -100,8 +100,8 @@
                 {"10.0.0.2:1/" + std::to_string(m_tasks * 8 + input), InstanceName{"other"}, "10.0.0.2:1", 60'000, 1});
         }
         task.resultBytes = 6000;
-        task.zone = ZoneName{"zone-" + std::to_string(m_tasks % 5)};
-        task.from = InstanceName{"entry-" + std::to_string(m_tasks % 100)};
+        task.preferredZone = ZoneName{"zone-" + std::to_string(m_tasks % 5)};
+        task.requester = InstanceName{"entry-" + std::to_string(m_tasks % 100)};
         apply(PeerTaskArrived{PeerTaskNumber{++m_tasks}, std::move(task)});
     }
 
@@ -110,7 +110,7 @@
         for (const Effect &effect : m_reducer.apply(event, m_now)) {
             if (const auto *call = std::get_if<StartStageCall>(&effect)) {
                 startCall(*call);
-            } else if (const auto *answer = std::get_if<AnswerPeerTask>(&effect)) {
+            } else if (const auto *answer = std::get_if<CompletePeerTask>(&effect)) {
                 m_answeredTasks += answer->outcomes.empty() ? 0 : 1;
                 releaseLater(*answer);
             }
@@ -119,7 +119,7 @@
 
     void startCall(const StartStageCall &call)
     {
-        StageCallEnded ended{call.call, StageCallEnd::Answered, {}, EndpointLoad{1, 0, 1}};
+        StageCallEnded ended{call.call, StageCallStatus::Answered, {}, EndpointLoad{1, 0, 1}};
         for (const StageItem &item : call.items) {
             ended.results.push_back({call.address + "/" + item.attempt + "-" + std::to_string(item.piece), {}});
         }
@@ -130,16 +130,16 @@
         m_running.emplace(position, completion, std::move(ended));
     }
 
-    void releaseLater(const AnswerPeerTask &answer)
+    void releaseLater(const CompletePeerTask &answer)
     {
-        PeerReleased released;
+        PeerReleasedResults released;
         for (const StageOutcome &outcome : answer.outcomes) {
             released.handles.push_back(outcome.result.handle);
         }
         m_released.push_back(std::move(released));
         // Results are released only after the next stage has fetched them.
         if (m_released.size() > 100) {
-            const PeerReleased first = std::move(m_released.front());
+            const PeerReleasedResults first = std::move(m_released.front());
             m_released.erase(m_released.begin());
             apply(first);
         }
@@ -149,7 +149,7 @@
     std::shared_ptr<const Catalog> m_catalog;
     ServingReducer m_reducer;
     std::vector<std::pair<TimePoint, StageCallEnded>> m_running;
-    std::vector<PeerReleased> m_released;
+    std::vector<PeerReleasedResults> m_released;
     double m_dueTasks{};
     std::uint64_t m_tasks{};
     std::uint64_t m_answeredTasks{};
@@ -182,7 +182,7 @@
     const std::string name = "entry-" + std::to_string(number);
     heartbeat.from = {InstanceName{name}, name + ":1", isRelay ? 0.5 : 0.1};
     heartbeat.incarnation = 1;
-    heartbeat.ownsQueues = true;
+    heartbeat.canOwnQueues = true;
     heartbeat.isRelay = isRelay;
     heartbeat.upcoming = {{PoolName{"encoders"}, 0, 4}, {PoolName{"rerankers"}, 2, 8}};
     heartbeat.engines.push_back({heartbeat.from.instance, 1, 1, {{InstanceName{"engine-1"}, 400}}, {}});
@@ -194,10 +194,10 @@
 {
     const auto fleet = static_cast<std::size_t>(state.range(0));
     Peers peers{{InstanceName{"entry-0"}, "entry-0:1", 0.5}, {}};
-    peers.setOwnsQueues(true);
+    peers.setCanOwnQueues(true);
     TimePoint now{std::chrono::seconds{100}};
     for (std::size_t number = 1; number < fleet; ++number) {
-        peers.heard(heartbeatOf(number, number % 7 == 0), now);
+        peers.handleHeartbeat(heartbeatOf(number, number % 7 == 0), now);
     }
     for (auto iteration : state) {
         for (int beat = 0; beat < 5; ++beat) {
@@ -207,12 +207,12 @@
                     continue;
                 }
                 const Heartbeat received = heartbeatOf(number, number % 7 == 0);
-                peers.heard(received, now);
+                peers.handleHeartbeat(received, now);
                 Heartbeat answer;
-                peers.complete(answer, received.from.address, now);
+                peers.fillHeartbeat(answer, received.from.address, now);
                 benchmark::DoNotOptimize(answer);
             }
-            benchmark::DoNotOptimize(peers.due(now));
+            benchmark::DoNotOptimize(peers.takeDueAddresses(now));
         }
     }
 }
--- a/src/bergamottide/admission/admission.cpp
+++ b/src/bergamottide/admission/admissioncontrol.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/admission/admission.h"
+#include "bergamottide/admission/admissioncontrol.h"
 
 #include <algorithm>
 #include <numeric>
@@ -36,14 +36,14 @@
 
 } // namespace
 
-Admission::Admission(Placement &placement, const EndpointTable &table)
+AdmissionControl::AdmissionControl(Placement &placement, const EndpointTable &table)
     : m_placement{placement}
     , m_table{table}
 {
 }
 
-AdmissionDecision Admission::judge(const AdmissionQuery &query, const Policy &policy, std::size_t entryCount,
-                                   TimePoint now)
+AdmissionDecision AdmissionControl::decide(const AdmissionQuery &query, const Policy &policy, std::size_t entryCount,
+                                           TimePoint now)
 {
     const AdmissionDecision limits = checkWorkspaceLimits(query.workspace, now);
     if (limits.reason != Reason::None) {
@@ -69,7 +69,7 @@
 
 // The allowed wait shrinks while the queue persists, from a burst's share to that of sustained saturation after one
 // deadline.
-Duration Admission::allowedWait(const AdmissionQuery &query, const WaitEstimate &waits, TimePoint now)
+Duration AdmissionControl::allowedWait(const AdmissionQuery &query, const WaitEstimate &waits, TimePoint now)
 {
     const PoolName &pool = query.pipeline.stages[waits.bottleneck].pool;
     const PoolKey key{query.workspace.name.text(), pool.text()};
@@ -84,7 +84,7 @@
     return scaled(query.remaining, share * (1.0 - spread * shareOfHigherValue(query, waits.bottleneck)));
 }
 
-void Admission::recordDemand(const AdmissionQuery &query, TimePoint now)
+void AdmissionControl::recordDemand(const AdmissionQuery &query, TimePoint now)
 {
     for (std::size_t stage = 0; stage < query.costs.size(); ++stage) {
         DemandHistogram &demand = m_demand[query.pipeline.stages[stage].pool.text()];
@@ -93,12 +93,12 @@
 }
 
 // Returns the share of the recent demand for the stage's pool that has a higher value density than the request.
-double Admission::shareOfHigherValue(const AdmissionQuery &query, std::size_t stage)
+double AdmissionControl::shareOfHigherValue(const AdmissionQuery &query, std::size_t stage)
 {
     return m_demand[query.pipeline.stages[stage].pool.text()].shareAbove(valueDensity(query, stage));
 }
 
-AdmissionDecision Admission::checkWorkspaceLimits(const Workspace &workspace, TimePoint now)
+AdmissionDecision AdmissionControl::checkWorkspaceLimits(const Workspace &workspace, TimePoint now)
 {
     const auto inProgress = m_inProgress.find(workspace.name.text());
     if (inProgress != m_inProgress.end() && inProgress->second >= workspace.maxInProgress) {
@@ -111,7 +111,7 @@
     return wait > Duration::zero() ? AdmissionDecision{Reason::RateLimited, wait} : AdmissionDecision{};
 }
 
-AdmissionDecision Admission::probeOrRefuse(const AdmissionQuery &query, Duration service, TimePoint now)
+AdmissionDecision AdmissionControl::probeOrRefuse(const AdmissionQuery &query, Duration service, TimePoint now)
 {
     TimePoint &next = m_nextProbe[KindKey{query.pipeline.name.text(), query.kind.name.text()}];
     if (now >= next) {
@@ -121,8 +121,8 @@
     return {Reason::DeadlineUnreachable, std::clamp(service - query.remaining, minRetryAfter, maxRetryAfter)};
 }
 
-Admission::WaitEstimate Admission::estimateWaits(const AdmissionQuery &query, const Policy &policy,
-                                                 std::size_t entryCount, TimePoint now)
+AdmissionControl::WaitEstimate AdmissionControl::estimateWaits(const AdmissionQuery &query, const Policy &policy,
+                                                               std::size_t entryCount, TimePoint now)
 {
     WaitEstimate waits;
     for (std::size_t index = 0; index < query.pipeline.stages.size(); ++index) {
@@ -146,7 +146,7 @@
 
 // Returns the wait caused by admitted requests that have not reached the pool yet. Load reports don't include them, so
 // a burst would otherwise be admitted without limit until its first requests arrive there.
-Duration Admission::pendingWait(const AdmissionQuery &query, const PoolName &pool, std::size_t entryCount) const
+Duration AdmissionControl::pendingWait(const AdmissionQuery &query, const PoolName &pool, std::size_t entryCount) const
 {
     const auto pending = m_pending.find(PoolKey{query.workspace.name.text(), pool.text()});
     const PoolEndpoints *endpoints = m_table.pool(pool);
@@ -160,7 +160,7 @@
     return pending->second * static_cast<std::int64_t>(entryCount) / std::max<std::int64_t>(1, slots);
 }
 
-void Admission::admitted(const AdmissionQuery &query)
+void AdmissionControl::requestAdmitted(const AdmissionQuery &query)
 {
     ++m_inProgress[query.workspace.name.text()];
     for (std::size_t index = 0; index < query.costs.size(); ++index) {
@@ -169,7 +169,7 @@
     }
 }
 
-void Admission::ended(const WorkspaceName &workspace)
+void AdmissionControl::requestEnded(const WorkspaceName &workspace)
 {
     const auto found = m_inProgress.find(workspace.text());
     if (found != m_inProgress.end() && --found->second == 0) {
@@ -177,7 +177,7 @@
     }
 }
 
-void Admission::stageLeft(const WorkspaceName &workspace, const PoolName &pool, Duration cost)
+void AdmissionControl::removePendingStage(const WorkspaceName &workspace, const PoolName &pool, Duration cost)
 {
     const auto found = m_pending.find(PoolKey{workspace.text(), pool.text()});
     if (found == m_pending.end()) {
--- a/src/bergamottide/admission/admission.h
+++ b/src/bergamottide/admission/admissioncontrol.h
@@ -50,11 +50,11 @@
  * higher value per second of endpoint time. A workspace below its fair share doesn't wait
  * and is therefore not affected by its value.
  */
-class Admission
+class AdmissionControl
 {
 public:
     /*! @brief Creates an admission control; the placement and its table must outlive it. */
-    Admission(Placement &placement, const EndpointTable &table);
+    AdmissionControl(Placement &placement, const EndpointTable &table);
 
     /**
      * @brief Decides whether a request is admitted.
@@ -63,15 +63,15 @@
      * @param entryCount Number of entries; each is assumed to admit the same load.
      * @param now Current time.
      */
-    [[nodiscard]] AdmissionDecision judge(const AdmissionQuery &query, const Policy &policy, std::size_t entryCount,
-                                          TimePoint now);
+    [[nodiscard]] AdmissionDecision decide(const AdmissionQuery &query, const Policy &policy, std::size_t entryCount,
+                                           TimePoint now);
 
     /*! @brief Records that a request was admitted. */
-    void admitted(const AdmissionQuery &query);
+    void requestAdmitted(const AdmissionQuery &query);
     /*! @brief Records that an admitted request has ended. */
-    void ended(const WorkspaceName &workspace);
+    void requestEnded(const WorkspaceName &workspace);
     /*! @brief Removes the cost of a stage that was dispatched, or will never be, from the pending cost of its pool. */
-    void stageLeft(const WorkspaceName &workspace, const PoolName &pool, Duration cost);
+    void removePendingStage(const WorkspaceName &workspace, const PoolName &pool, Duration cost);
 
 private:
     /*! @brief Estimated waits of a request in the queues of its stages. */
--- a/src/bergamottide/app/adminport.cpp
+++ b/src/bergamottide/app/adminport.cpp
@@ -25,7 +25,7 @@
 
 void sendJson(HttpResponder &responder, int status, std::string body)
 {
-    responder.answer(HttpAnswer{status, {{"content-type", "application/json"}}, std::move(body)});
+    responder.respond(HttpResponse{status, {{"content-type", "application/json"}}, std::move(body)});
 }
 
 std::string validationJson(const ParseResult &result)
@@ -63,8 +63,8 @@
     }
     if (request.path == "/console") {
         // The page itself holds no data; the requests that it sends need the key.
-        responder.answer(
-            HttpAnswer{statusOk, {{"content-type", "text/html; charset=utf-8"}}, std::string{consolePage()}});
+        responder.respond(
+            HttpResponse{statusOk, {{"content-type", "text/html; charset=utf-8"}}, std::string{consolePage()}});
         return;
     }
     if (!isAuthorized(request)) {
@@ -93,7 +93,7 @@
         return;
     }
     if (get && request.path == "/metrics") {
-        responder.answer(HttpAnswer{statusOk, {{"content-type", "text/plain; version=0.0.4"}}, m_hooks.metrics()});
+        responder.respond(HttpResponse{statusOk, {{"content-type", "text/plain; version=0.0.4"}}, m_hooks.metrics()});
         return;
     }
     if (get && request.path == "/audit") {
@@ -103,7 +103,7 @@
             sendJson(responder, statusBadRequest, R"({"reason":"malformed_header","field":"after"})");
             return;
         }
-        responder.answer(HttpAnswer{statusOk, {{"content-type", "application/x-ndjson"}}, m_hooks.audit(after)});
+        responder.respond(HttpResponse{statusOk, {{"content-type", "application/x-ndjson"}}, m_hooks.audit(after)});
         return;
     }
     if (post && request.path == "/drain") {
--- a/src/bergamottide/app/calleranswer.cpp
+++ b/src/bergamottide/app/calleranswer.cpp
@@ -102,7 +102,7 @@
     return outcome == Outcome::Completed ? statusOk : statusOfReason(reason);
 }
 
-std::string answerBody(const CallerAnswer &answer, const std::string &ticket, bool includeResult)
+std::string answerBody(const SendAnswer &answer, const std::string &ticket, bool includeResult)
 {
     const Json fields{{"request_id", answer.request.text()},
                       {"outcome", std::string{enumName(answer.outcome)}},
@@ -119,9 +119,9 @@
     return text;
 }
 
-HttpAnswer httpAnswer(const CallerAnswer &answer, const std::string &ticket)
+HttpResponse httpAnswer(const SendAnswer &answer, const std::string &ticket)
 {
-    HttpAnswer http;
+    HttpResponse http;
     http.status = httpStatus(answer.outcome, answer.reason);
     http.headers = {{"content-type", "application/json"},
                     {"x-outcome", std::string{enumName(answer.outcome)}},
@@ -136,9 +136,9 @@
     return http;
 }
 
-CallerAnswer notRunAnswer(CallId call, const absl::Status &error)
+SendAnswer notRunAnswer(CallId call, const absl::Status &error)
 {
-    CallerAnswer answer;
+    SendAnswer answer;
     answer.call = call;
     answer.outcome = Outcome::NotRun;
     answer.reason = errorReason(error);
--- a/src/bergamottide/app/calleranswer.h
+++ b/src/bergamottide/app/calleranswer.h
@@ -34,14 +34,14 @@
  * @param includeResult Whether the result is included; not if it was streamed before.
  * @return JSON text.
  */
-[[nodiscard]] std::string answerBody(const CallerAnswer &answer, const std::string &ticket, bool includeResult);
+[[nodiscard]] std::string answerBody(const SendAnswer &answer, const std::string &ticket, bool includeResult);
 
 /**
  * @brief Writes an answer as one HTTP response with status, headers and body.
  * @param answer Answer.
  * @param ticket Encoded ticket; empty if there is none.
  */
-[[nodiscard]] HttpAnswer httpAnswer(const CallerAnswer &answer, const std::string &ticket);
+[[nodiscard]] HttpResponse httpAnswer(const SendAnswer &answer, const std::string &ticket);
 
 /**
  * @brief Creates the answer to a malformed request.
@@ -49,7 +49,7 @@
  * @param error Error that carries the reason and the field.
  * @return Answer with the outcome `not_run`.
  */
-[[nodiscard]] CallerAnswer notRunAnswer(CallId call, const absl::Status &error);
+[[nodiscard]] SendAnswer notRunAnswer(CallId call, const absl::Status &error);
 
 /**
  * @brief Formats one server-sent event.
--- a/src/bergamottide/app/callerport.cpp
+++ b/src/bergamottide/app/callerport.cpp
@@ -37,13 +37,13 @@
     const CallId id{++m_lastCall};
     auto read = parseCallerRequest(id, request, m_context);
     if (!read.ok()) {
-        responder->answer(httpAnswer(notRunAnswer(id, read.status()), {}));
+        responder->respond(httpAnswer(notRunAnswer(id, read.status()), {}));
         return;
     }
     Call call;
     call.responder = std::move(responder);
     call.mode = read->mode;
-    if (const auto *fetched = std::get_if<CallerFetched>(&read->event)) {
+    if (const auto *fetched = std::get_if<FetchRequested>(&read->event)) {
         call.offset = fetched->offset;
     }
     const auto key = static_cast<std::uint64_t>(id);
@@ -61,7 +61,7 @@
     m_context.document = std::move(document);
 }
 
-void CallerPort::carryOut(const CallerTicket &effect)
+void CallerPort::carryOut(const SendTicket &effect)
 {
     const auto found = m_calls.find(static_cast<std::uint64_t>(effect.call));
     if (found == m_calls.end()) {
@@ -75,7 +75,7 @@
         constexpr int statusAccepted = 202;
         const auto responder = call.responder;
         m_calls.erase(found);
-        responder->answer(HttpAnswer{statusAccepted, {{"content-type", "application/json"}}, data});
+        responder->respond(HttpResponse{statusAccepted, {{"content-type", "application/json"}}, data});
         return;
     }
     if (call.mode.streaming) {
@@ -84,7 +84,7 @@
     }
 }
 
-void CallerPort::carryOut(const CallerPiece &effect)
+void CallerPort::carryOut(const SendResultPiece &effect)
 {
     const auto found = m_calls.find(static_cast<std::uint64_t>(effect.call));
     if (found == m_calls.end() || !found->second.mode.streaming) {
@@ -97,7 +97,7 @@
     dropIfSlow(effect.call, call);
 }
 
-void CallerPort::carryOut(const CallerAnswer &effect)
+void CallerPort::carryOut(const SendAnswer &effect)
 {
     const auto found = m_calls.find(static_cast<std::uint64_t>(effect.call));
     if (found == m_calls.end()) {
@@ -113,7 +113,7 @@
         finishStream(call, effect);
         return;
     }
-    call.responder->answer(httpAnswer(effect, call.ticket));
+    call.responder->respond(httpAnswer(effect, call.ticket));
 }
 
 std::size_t CallerPort::waitingCalls() const noexcept
@@ -143,7 +143,7 @@
     call.responder->begin(200, {{"content-type", "text/event-stream"}, {"cache-control", "no-store"}});
 }
 
-void CallerPort::finishStream(Call &call, const CallerAnswer &effect)
+void CallerPort::finishStream(Call &call, const SendAnswer &effect)
 {
     beginStream(call);
     if (!effect.body.empty()) {
--- a/src/bergamottide/app/callerport.h
+++ b/src/bergamottide/app/callerport.h
@@ -49,19 +49,19 @@
      * @brief Sends a caller its ticket: as the whole response to an asynchronous request, else as an event.
      * @param effect Effect to carry out.
      */
-    void carryOut(const CallerTicket &effect);
+    void carryOut(const SendTicket &effect);
 
     /**
      * @brief Streams a piece of the result to the caller.
      * @param effect Effect to carry out.
      */
-    void carryOut(const CallerPiece &effect);
+    void carryOut(const SendResultPiece &effect);
 
     /**
      * @brief Sends the final answer and ends the call.
      * @param effect Effect to carry out.
      */
-    void carryOut(const CallerAnswer &effect);
+    void carryOut(const SendAnswer &effect);
 
     /*! @brief Returns the number of calls without a final answer. */
     [[nodiscard]] std::size_t waitingCalls() const noexcept;
@@ -79,7 +79,7 @@
 
     [[nodiscard]] RequestId generateRequestId();
     void beginStream(Call &call);
-    void finishStream(Call &call, const CallerAnswer &effect);
+    void finishStream(Call &call, const SendAnswer &effect);
     void dropIfSlow(CallId id, const Call &call);
 
     const TicketCodec &m_tickets;
--- a/src/bergamottide/app/callerrequest.cpp
+++ b/src/bergamottide/app/callerrequest.cpp
@@ -142,7 +142,7 @@
         return invalidHeader("idempotency-key");
     }
     if (!key.empty()) {
-        submitted.keyed = true;
+        submitted.hasIdempotencyKey = true;
         submitted.request = deriveRequestId(findKeyOwner(submitted.keyDigest, context), key);
         return absl::OkStatus();
     }
@@ -169,7 +169,7 @@
         return makeError(Reason::UnknownTicket, "x-ticket", "The ticket is not valid");
     }
     submitted.request = ticket->request;
-    submitted.keyed = false;
+    submitted.hasIdempotencyKey = false;
     submitted.ticket = *ticket;
     return absl::OkStatus();
 }
@@ -260,7 +260,7 @@
         return makeError(Reason::UnknownTicket, "ticket", "The ticket is not valid");
     }
     if (request.method == "DELETE") {
-        return CallerRequest{CallerCanceled{call, *std::move(key), *ticket}, {}};
+        return CallerRequest{CancelRequested{call, *std::move(key), *ticket}, {}};
     }
     const auto offset = parseOffset(request);
     if (!offset.ok()) {
@@ -271,9 +271,9 @@
         return deadline.status();
     }
     const AnswerMode mode{acceptsEventStream(request.headers), false};
-    return CallerRequest{
-        CallerFetched{call, *std::move(key), *ticket, *offset, mode.streaming, deadline->value_or(defaultFetchTimeout)},
-        mode};
+    return CallerRequest{FetchRequested{call, *std::move(key), *ticket, *offset, mode.streaming,
+                                        deadline->value_or(defaultFetchTimeout)},
+                         mode};
 }
 
 } // namespace
--- a/src/bergamottide/app/callerrequest.h
+++ b/src/bergamottide/app/callerrequest.h
@@ -43,7 +43,7 @@
 /*! @brief A parsed request. */
 struct CallerRequest
 {
-    std::variant<CallerSubmitted, CallerFetched, CallerCanceled> event;
+    std::variant<CallerSubmitted, FetchRequested, CancelRequested> event;
     AnswerMode mode;
 };
 
--- a/src/bergamottide/app/entryapp.cpp
+++ b/src/bergamottide/app/entryapp.cpp
@@ -74,7 +74,7 @@
     , m_transport{loop, transportOptions(settings, incarnation), peerHooks()}
     , m_peers{m_transport, settings.instance, Role::Entry,
               [this](const Instance &instance) {
-                  return instance.role == Role::Side && instance.region == m_settings.region;
+                  return instance.role == Role::Sidecar && instance.region == m_settings.region;
               },
               removedPeerRetention}
     , m_feed{loop, feedOptions(settings, incarnation), feedHooks()}
@@ -147,17 +147,17 @@
     m_transport.reopen(effect.peer);
 }
 
-void EntryApp::carryOut(const CallerTicket &effect)
+void EntryApp::carryOut(const SendTicket &effect)
 {
     m_callers.carryOut(effect);
 }
 
-void EntryApp::carryOut(const CallerPiece &effect)
+void EntryApp::carryOut(const SendResultPiece &effect)
 {
     m_callers.carryOut(effect);
 }
 
-void EntryApp::carryOut(const CallerAnswer &effect)
+void EntryApp::carryOut(const SendAnswer &effect)
 {
     m_callers.carryOut(effect);
 }
--- a/src/bergamottide/app/entryapp.h
+++ b/src/bergamottide/app/entryapp.h
@@ -65,9 +65,9 @@
     void carryOut(EntryEffect effect);
     void carryOut(const SendMessage &effect);
     void carryOut(const ReopenStream &effect);
-    void carryOut(const CallerTicket &effect);
-    void carryOut(const CallerPiece &effect);
-    void carryOut(const CallerAnswer &effect);
+    void carryOut(const SendTicket &effect);
+    void carryOut(const SendResultPiece &effect);
+    void carryOut(const SendAnswer &effect);
     void carryOut(const DrainComplete &effect);
     void carryOut(const LogLine &line);
     void carryOut(const AuditRecord &record);
--- a/src/bergamottide/app/filewatch.cpp
+++ b/src/bergamottide/app/filewatch.cpp
@@ -37,7 +37,7 @@
     m_loop.cancel(m_timer);
 }
 
-void FileWatch::look()
+void FileWatch::checkNow()
 {
     std::string text;
     if (!readFile(m_path, text) || text == m_text) {
@@ -50,7 +50,7 @@
 void FileWatch::schedulePoll()
 {
     m_timer = m_loop.at(m_loop.now() + pollPeriod, [this] {
-        look();
+        checkNow();
         schedulePoll();
     });
 }
--- a/src/bergamottide/app/filewatch.h
+++ b/src/bergamottide/app/filewatch.h
@@ -28,7 +28,7 @@
     ~FileWatch();
 
     /*! @brief Checks the file immediately. */
-    void look();
+    void checkNow();
 
 private:
     void schedulePoll();
--- a/src/bergamottide/app/peerport.cpp
+++ b/src/bergamottide/app/peerport.cpp
@@ -28,7 +28,7 @@
     HttpServerOptions options;
     options.listen = address;
     options.closePollPeriod = closePollPeriod;
-    options.unacknowledged = maxUnacknowledgedTime;
+    options.unacknowledgedTimeout = maxUnacknowledgedTime;
     return options;
 }
 
@@ -37,7 +37,7 @@
     HttpClientOptions options;
     options.ioTimeout = ioTimeout;
     options.connectTimeout = connectTimeout;
-    options.unacknowledged = maxUnacknowledgedTime;
+    options.unacknowledgedTimeout = maxUnacknowledgedTime;
     return options;
 }
 
@@ -73,8 +73,8 @@
 {
     if (request.path == heartbeatPath) {
         const auto from = receiveHeartbeat(request.body);
-        responder->answer(from.ok() ? HttpAnswer{200, {}, peerwire::write(m_hooks.heartbeat(*from))}
-                                    : HttpAnswer{400, {}, {}});
+        responder->respond(from.ok() ? HttpResponse{200, {}, peerwire::encode(m_hooks.heartbeat(*from))}
+                                     : HttpResponse{400, {}, {}});
         return;
     }
     if (request.path == taskPath) {
@@ -83,40 +83,40 @@
     }
     if (request.path == releasedPath) {
         auto handles = peerwire::decodeHandles(request.body);
-        responder->answer({handles.ok() ? 200 : 400, {}, {}});
+        responder->respond({handles.ok() ? 200 : 400, {}, {}});
         if (handles.ok()) {
-            m_hooks.submit(PeerReleased{*std::move(handles)});
+            m_hooks.submit(PeerReleasedResults{*std::move(handles)});
         } else {
             logMalformedMessage(handles.status());
         }
         return;
     }
-    if (request.path == publishedChangesPath && m_storeHandlers.changes) {
+    if (request.path == storeChangesPath && m_storeHandlers.changes) {
         m_storeHandlers.changes(request.query, responder);
         return;
     }
     if (request.path == storeDataPath && m_storeHandlers.snapshot) {
         const auto body = m_storeHandlers.snapshot(request.query);
-        responder->answer({body ? 200 : 204, {}, body.value_or(std::string{})});
+        responder->respond({body ? 200 : 204, {}, body.value_or(std::string{})});
         return;
     }
-    responder->answer({404, {}, {}});
+    responder->respond({404, {}, {}});
 }
 
-void PeerPort::onPublishedAsked(StoreHandlers handlers)
+void PeerPort::setStoreHandlers(StoreHandlers handlers)
 {
     m_storeHandlers = std::move(handlers);
 }
 
-void PeerPort::askPublished(const PeerInfo &peer, const std::string &query,
-                            std::function<void(const std::string &body)> onBody)
+void PeerPort::requestStoreSnapshot(const PeerInfo &peer, const std::string &query,
+                                    std::function<void(const std::string &body)> onBody)
 {
     HttpRequest request;
     request.method = "GET";
     request.path = storeDataPath;
     request.query = query;
     HttpCallHooks hooks;
-    hooks.done = [onBody = std::move(onBody)](const HttpAnswer &answer) {
+    hooks.done = [onBody = std::move(onBody)](const HttpResponse &answer) {
         if (answer.status == 200) {
             onBody(answer.body);
         }
@@ -132,14 +132,14 @@
     auto task = peerwire::decodeTask(request.body, m_loop.now());
     if (!task.ok()) {
         logMalformedMessage(task.status());
-        responder->answer({400, {}, {}});
+        responder->respond({400, {}, {}});
         return;
     }
     const PeerTaskNumber number{++m_lastPeerTask};
     m_peerTasks.emplace(number, responder);
     responder->onClosed([this, number] {
         if (m_peerTasks.erase(number) != 0) {
-            m_hooks.submit(PeerTaskGone{number});
+            m_hooks.submit(PeerTaskCancelled{number});
         }
     });
     m_hooks.submit(PeerTaskArrived{number, *std::move(task)});
@@ -154,14 +154,14 @@
         return heartbeat.status();
     }
     std::string address = heartbeat->from.address;
-    m_hooks.submit(HeartbeatHeard{*std::move(heartbeat)});
+    m_hooks.submit(HeartbeatReceived{*std::move(heartbeat)});
     return address;
 }
 
 void PeerPort::carryOut(const SendHeartbeat &effect)
 {
     HttpCallHooks hooks;
-    hooks.done = [this](const HttpAnswer &answer) {
+    hooks.done = [this](const HttpResponse &answer) {
         if (answer.status == 200) {
             // receiveHeartbeat logs errors.
             static_cast<void>(receiveHeartbeat(answer.body));
@@ -170,42 +170,42 @@
     // A peer is considered lost when its heartbeats are missing; a failed call needs no handling.
     hooks.failed = [](HttpFailure) {
     };
-    m_heartbeatClient.call(effect.address, post(heartbeatPath, peerwire::write(m_hooks.heartbeat(effect.address))),
+    m_heartbeatClient.call(effect.address, post(heartbeatPath, peerwire::encode(m_hooks.heartbeat(effect.address))),
                            std::move(hooks));
 }
 
-void PeerPort::carryOut(const HandTask &effect)
+void PeerPort::carryOut(const DelegateTask &effect)
 {
     const StageTaskId task = effect.task.id;
     const InstanceName peer = effect.peer.instance;
     HttpCallHooks hooks;
-    hooks.done = [this, task, peer](const HttpAnswer &answer) {
+    hooks.done = [this, task, peer](const HttpResponse &answer) {
         handleTaskAnswer(task, peer, answer);
     };
     hooks.failed = [this, task, peer](HttpFailure) {
         if (m_delegatedTasks.erase(task) != 0) {
-            m_hooks.submit(HandedTaskEnded{task, peer, {}});
+            m_hooks.submit(DelegatedTaskEnded{task, peer, {}});
         }
     };
     m_delegatedTasks[task] = m_taskClient.call(
-        effect.peer.address, post(taskPath, peerwire::write(effect.task, m_loop.now())), std::move(hooks));
+        effect.peer.address, post(taskPath, peerwire::encode(effect.task, m_loop.now())), std::move(hooks));
 }
 
-void PeerPort::handleTaskAnswer(StageTaskId task, const InstanceName &peer, const HttpAnswer &answer)
+void PeerPort::handleTaskAnswer(StageTaskId task, const InstanceName &peer, const HttpResponse &answer)
 {
     if (m_delegatedTasks.erase(task) == 0) {
         return;
     }
     auto outcomes = peerwire::decodeOutcomes(answer.body, task);
     if (answer.status != 200 || !outcomes.ok()) {
-        m_hooks.submit(HandedTaskEnded{task, peer, {}});
+        m_hooks.submit(DelegatedTaskEnded{task, peer, {}});
         return;
     }
     const bool isGivenBack = outcomes->empty();
-    m_hooks.submit(HandedTaskEnded{task, peer, *std::move(outcomes), isGivenBack});
+    m_hooks.submit(DelegatedTaskEnded{task, peer, *std::move(outcomes), isGivenBack});
 }
 
-void PeerPort::carryOut(const RecallTask &effect)
+void PeerPort::carryOut(const CancelDelegatedTask &effect)
 {
     const auto node = m_delegatedTasks.extract(effect.task);
     if (!node.empty()) {
@@ -213,18 +213,18 @@
     }
 }
 
-void PeerPort::carryOut(const AnswerPeerTask &effect)
+void PeerPort::carryOut(const CompletePeerTask &effect)
 {
     const auto node = m_peerTasks.extract(effect.number);
     if (!node.empty()) {
-        node.mapped()->answer({200, {}, peerwire::write(effect.outcomes)});
+        node.mapped()->respond({200, {}, peerwire::encode(effect.outcomes)});
     }
 }
 
-void PeerPort::carryOut(const TellReleased &effect)
+void PeerPort::carryOut(const NotifyReleasedResults &effect)
 {
     HttpCallHooks hooks;
-    hooks.done = [](const HttpAnswer &) {
+    hooks.done = [](const HttpResponse &) {
     };
     // Nothing to do: the queue owner drops its record when the results expire.
     hooks.failed = [](HttpFailure) {
--- a/src/bergamottide/app/peerport.h
+++ b/src/bergamottide/app/peerport.h
@@ -37,7 +37,7 @@
 };
 
 /*! @brief Path at which peers ask for changes of the store's data. */
-inline constexpr std::string_view publishedChangesPath = "/peer/published/changes";
+inline constexpr std::string_view storeChangesPath = "/peer/published/changes";
 
 /**
  * @brief HTTP server and clients for the other serving processes: heartbeats and delegated stage tasks.
@@ -60,23 +60,23 @@
     [[nodiscard]] absl::Status listen();
 
     /*! @brief Sets the handlers of peers' requests for the store's data. */
-    void onPublishedAsked(StoreHandlers handlers);
+    void setStoreHandlers(StoreHandlers handlers);
 
     /*! @brief Requests the store's data from a peer; `onBody` is called only if the peer returns a body. */
-    void askPublished(const serving::PeerInfo &peer, const std::string &query,
-                      std::function<void(const std::string &body)> onBody);
+    void requestStoreSnapshot(const serving::PeerInfo &peer, const std::string &query,
+                              std::function<void(const std::string &body)> onBody);
 
     void carryOut(const serving::SendHeartbeat &effect);
-    void carryOut(const serving::HandTask &effect);
-    void carryOut(const serving::RecallTask &effect);
-    void carryOut(const serving::AnswerPeerTask &effect);
-    void carryOut(const serving::TellReleased &effect);
+    void carryOut(const serving::DelegateTask &effect);
+    void carryOut(const serving::CancelDelegatedTask &effect);
+    void carryOut(const serving::CompletePeerTask &effect);
+    void carryOut(const serving::NotifyReleasedResults &effect);
 
 private:
     void handle(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
     void receiveTask(const HttpRequest &request, const std::shared_ptr<HttpResponder> &responder);
     [[nodiscard]] absl::StatusOr<std::string> receiveHeartbeat(const std::string &text);
-    void handleTaskAnswer(serving::StageTaskId task, const InstanceName &peer, const HttpAnswer &answer);
+    void handleTaskAnswer(serving::StageTaskId task, const InstanceName &peer, const HttpResponse &answer);
     void logMalformedMessage(const absl::Status &status);
 
     Loop &m_loop;
--- a/src/bergamottide/app/peerset.cpp
+++ b/src/bergamottide/app/peerset.cpp
@@ -58,7 +58,7 @@
     if (listed == m_instances.end() || peer == m_self) {
         return;
     }
-    if (m_role == Role::Side && listed->second.role == Role::Entry) {
+    if (m_role == Role::Sidecar && listed->second.role == Role::Entry) {
         // An entry keeps a stream to every sidecar of its region.
         return;
     }
--- a/src/bergamottide/app/peerwire.cpp
+++ b/src/bergamottide/app/peerwire.cpp
@@ -20,7 +20,7 @@
 {
     return {{"instance", peer.instance.text()},
             {"address", peer.address},
-            {"strength", peer.strength},
+            {"strength", peer.capacity},
             {"zone", peer.zone.text()}};
 }
 
@@ -35,7 +35,7 @@
     json out = json::array();
     for (const RosterEntry &entry : roster) {
         json item = toJson(entry.peer);
-        item["ownsQueues"] = entry.ownsQueues;
+        item["ownsQueues"] = entry.canOwnQueues;
         out.push_back(std::move(item));
     }
     return out;
@@ -55,7 +55,7 @@
     json out = json::array();
     for (const engines::EngineReport &report : reports) {
         json work = json::array();
-        for (const engines::EngineWork &item : report.work) {
+        for (const engines::PendingPrefill &item : report.pendingPrefills) {
             work.push_back({item.engine.text(), item.tokens});
         }
         json placed = json::array();
@@ -64,7 +64,7 @@
             for (const engines::ChainLink &link : item.chain) {
                 chain.push_back({link.digest, link.tokens});
             }
-            placed.push_back({item.engine.text(), item.readIn.count(), std::move(chain)});
+            placed.push_back({item.engine.text(), item.timeUntilCached.count(), std::move(chain)});
         }
         out.push_back({{"origin", report.origin.text()},
                        {"incarnation", report.incarnation},
@@ -82,12 +82,13 @@
     report.incarnation = value.at("incarnation").get<std::uint64_t>();
     report.sequence = value.at("sequence").get<std::uint64_t>();
     for (const json &item : value.at("work")) {
-        report.work.push_back({InstanceName{item.at(0).get<std::string>()}, item.at(1).get<std::uint64_t>()});
+        report.pendingPrefills.push_back(
+            {InstanceName{item.at(0).get<std::string>()}, item.at(1).get<std::uint64_t>()});
     }
     for (const json &item : value.at("placed")) {
         engines::PlacedPrompt placed;
         placed.engine = InstanceName{item.at(0).get<std::string>()};
-        placed.readIn = Duration{item.at(1).get<std::int64_t>()};
+        placed.timeUntilCached = Duration{item.at(1).get<std::int64_t>()};
         for (const json &link : item.at(2)) {
             placed.chain.push_back({link.at(0).get<std::uint64_t>(), link.at(1).get<std::uint64_t>()});
         }
@@ -109,16 +110,16 @@
 
 } // namespace
 
-std::string write(const Heartbeat &heartbeat)
+std::string encode(const Heartbeat &heartbeat)
 {
     json out = toJson(heartbeat.from);
     out["incarnation"] = heartbeat.incarnation;
     out["draining"] = heartbeat.draining;
-    out["ownsQueues"] = heartbeat.ownsQueues;
-    out["version"] = heartbeat.version;
+    out["ownsQueues"] = heartbeat.canOwnQueues;
+    out["version"] = heartbeat.configVersion;
     out["isRelay"] = heartbeat.isRelay;
     out["rosterDigest"] = heartbeat.rosterDigest;
-    out["knownDigest"] = heartbeat.knownDigest;
+    out["knownDigest"] = heartbeat.acknowledgedDigest;
     if (heartbeat.roster) {
         out["roster"] = toJson(*heartbeat.roster);
     }
@@ -127,12 +128,12 @@
         out["waits"].push_back({{"pool", wait.pool.text()},
                                 {"rank", wait.rank},
                                 {"wait", wait.wait.count()},
-                                {"perPiece", wait.perPiece.count()},
-                                {"items", wait.items},
-                                {"roomTaken", wait.roomTaken}});
+                                {"perPiece", wait.timePerPiece.count()},
+                                {"items", wait.itemsPerCall},
+                                {"roomTaken", wait.usedMemoryShare}});
     }
     out["upcoming"] = json::array();
-    for (const PoolWork &work : heartbeat.upcoming) {
+    for (const UpcomingWork &work : heartbeat.upcoming) {
         out["upcoming"].push_back({{"pool", work.pool.text()}, {"rank", work.rank}, {"pieces", work.pieces}});
     }
     out["engines"] = toJson(heartbeat.engines);
@@ -146,11 +147,11 @@
         heartbeat.from = peerFromJson(value);
         heartbeat.incarnation = value.at("incarnation").get<std::uint64_t>();
         heartbeat.draining = value.at("draining").get<bool>();
-        heartbeat.ownsQueues = value.at("ownsQueues").get<bool>();
-        heartbeat.version = value.at("version").get<std::uint64_t>();
+        heartbeat.canOwnQueues = value.at("ownsQueues").get<bool>();
+        heartbeat.configVersion = value.at("version").get<std::uint64_t>();
         heartbeat.isRelay = value.at("isRelay").get<bool>();
         heartbeat.rosterDigest = value.at("rosterDigest").get<std::uint64_t>();
-        heartbeat.knownDigest = value.at("knownDigest").get<std::uint64_t>();
+        heartbeat.acknowledgedDigest = value.at("knownDigest").get<std::uint64_t>();
         if (const auto roster = value.find("roster"); roster != value.end()) {
             heartbeat.roster = rosterFromJson(*roster);
         }
@@ -171,31 +172,31 @@
     });
 }
 
-std::string write(const StageTask &task, TimePoint now)
+std::string encode(const StageTask &task, TimePoint now)
 {
     json inputs = json::array();
-    for (const KeptResult &input : task.inputs) {
+    for (const StoredResult &input : task.inputs) {
         inputs.push_back({{"handle", input.handle},
                           {"endpoint", input.endpoint.text()},
                           {"address", input.address},
                           {"bytes", input.bytes}});
     }
     json held = json::array();
-    for (const HeldResults &item : task.held) {
+    for (const ResultMemoryUsage &item : task.heldResults) {
         held.push_back({{"endpoint", item.endpoint.text()}, {"bytes", item.bytes}});
     }
-    return dump({{"from", task.from.text()},
+    return dump({{"from", task.requester.text()},
                  {"pool", task.pool.text()},
                  {"rank", task.rank},
                  {"deadline", (task.deadline - now).count()},
-                 {"due", (task.due - now).count()},
+                 {"due", (task.latestStart - now).count()},
                  {"attempt", task.attempt},
                  {"stage", task.stage},
                  {"pieces", task.pieces},
-                 {"key", task.key},
+                 {"key", task.inputKey},
                  {"inputs", std::move(inputs)},
                  {"bytes", task.resultBytes},
-                 {"zone", task.zone.text()},
+                 {"zone", task.preferredZone.text()},
                  {"held", std::move(held)}});
 }
 
@@ -203,31 +204,31 @@
 {
     return parse(text, [now](const json &value) {
         StageTask task;
-        task.from = InstanceName{value.at("from").get<std::string>()};
+        task.requester = InstanceName{value.at("from").get<std::string>()};
         task.pool = PoolName{value.at("pool").get<std::string>()};
         task.rank = value.at("rank").get<int>();
         task.deadline = now + Duration{value.at("deadline").get<std::int64_t>()};
-        task.due = now + Duration{value.at("due").get<std::int64_t>()};
+        task.latestStart = now + Duration{value.at("due").get<std::int64_t>()};
         task.attempt = value.at("attempt").get<std::string>();
         task.stage = value.at("stage").get<std::uint32_t>();
         task.pieces = value.at("pieces").get<std::uint32_t>();
-        task.key = value.at("key").get<std::string>();
+        task.inputKey = value.at("key").get<std::string>();
         for (const json &input : value.at("inputs")) {
             task.inputs.push_back({input.at("handle").get<std::string>(),
                                    InstanceName{input.at("endpoint").get<std::string>()},
                                    input.at("address").get<std::string>(), input.at("bytes").get<std::uint64_t>()});
         }
         task.resultBytes = value.at("bytes").get<std::uint64_t>();
-        task.zone = ZoneName{value.at("zone").get<std::string>()};
+        task.preferredZone = ZoneName{value.at("zone").get<std::string>()};
         for (const json &item : value.at("held")) {
-            task.held.push_back(
+            task.heldResults.push_back(
                 {InstanceName{item.at("endpoint").get<std::string>()}, item.at("bytes").get<std::uint64_t>()});
         }
         return task;
     });
 }
 
-std::string write(const std::vector<StageOutcome> &outcomes)
+std::string encode(const std::vector<StageOutcome> &outcomes)
 {
     json list = json::array();
     for (const StageOutcome &outcome : outcomes) {
--- a/src/bergamottide/app/peerwire.h
+++ b/src/bergamottide/app/peerwire.h
@@ -17,14 +17,14 @@
  */
 namespace bergamottide::peerwire {
 
-[[nodiscard]] std::string write(const serving::Heartbeat &heartbeat);
+[[nodiscard]] std::string encode(const serving::Heartbeat &heartbeat);
 [[nodiscard]] absl::StatusOr<serving::Heartbeat> decodeHeartbeat(const std::string &text);
 
-[[nodiscard]] std::string write(const serving::StageTask &task, TimePoint now);
+[[nodiscard]] std::string encode(const serving::StageTask &task, TimePoint now);
 
 [[nodiscard]] absl::StatusOr<serving::StageTask> decodeTask(const std::string &text, TimePoint now);
 
-[[nodiscard]] std::string write(const std::vector<serving::StageOutcome> &outcomes);
+[[nodiscard]] std::string encode(const std::vector<serving::StageOutcome> &outcomes);
 
 /**
  * @brief Reads the outcomes of a delegated task.
--- a/src/bergamottide/app/platformfeed.cpp
+++ b/src/bergamottide/app/platformfeed.cpp
@@ -77,7 +77,7 @@
             {"config_age_ms", milliseconds(m_distribution.age(m_loop.now()))},
             {"config_parent", status.parent.text()},
             {"config_subscribers", status.subscribers},
-            {"config_refusal", status.refusal.empty() ? std::string{} : issueText(status.refusal.front())},
+            {"config_refusal", status.refusalIssues.empty() ? std::string{} : issueText(status.refusalIssues.front())},
             {"config_reads", countsJson(m_config.counts(), m_config.counts().documents)},
             {"view_revision", m_revision},
             {"instance_reads", countsJson(m_instances.counts(), m_instances.counts().values)}};
@@ -93,9 +93,9 @@
     m_hooks.send(effect);
 }
 
-void PlatformFeed::carryOut(const ReadService &effect)
+void PlatformFeed::carryOut(const ReadConfig &effect)
 {
-    m_config.read(effect.after);
+    m_config.read(effect.newerThan);
 }
 
 void PlatformFeed::carryOut(const ConfigChanged &effect)
@@ -122,14 +122,14 @@
 {
     ConfigClientHooks hooks;
     hooks.document = [this](std::string text) {
-        m_runner.submit(ServiceDocument{std::move(text)});
+        m_runner.submit(ConfigDocumentRead{std::move(text)});
     };
     hooks.unchanged = [this] {
-        m_runner.submit(ServiceUnchanged{});
+        m_runner.submit(ConfigUnchanged{});
     };
     hooks.failed = [this](const absl::Status &error) {
         logReadFailure("config", error);
-        m_runner.submit(ServiceFailed{});
+        m_runner.submit(ConfigReadFailed{});
     };
     return hooks;
 }
--- a/src/bergamottide/app/platformfeed.h
+++ b/src/bergamottide/app/platformfeed.h
@@ -87,7 +87,7 @@
 private:
     void carryOut(ConfigEffect effect);
     void carryOut(const SendMessage &effect);
-    void carryOut(const ReadService &effect);
+    void carryOut(const ReadConfig &effect);
     void carryOut(const ConfigChanged &effect);
     void carryOut(const LogLine &line);
     void carryOut(const AuditRecord &record);
--- a/src/bergamottide/app/servingapp.cpp
+++ b/src/bergamottide/app/servingapp.cpp
@@ -46,7 +46,7 @@
     options.maxBodyBytes = maxBodyBytes;
     options.idleTimeout = callersIdleTimeout;
     options.closePollPeriod = closePollPeriod;
-    options.unacknowledged = maxUnacknowledgedTime;
+    options.unacknowledgedTimeout = maxUnacknowledgedTime;
     return options;
 }
 
@@ -63,7 +63,7 @@
     HttpClientOptions options;
     options.ioTimeout = endpointIoTimeout;
     options.connectTimeout = connectTimeout;
-    options.unacknowledged = maxUnacknowledgedTime;
+    options.unacknowledgedTimeout = maxUnacknowledgedTime;
     return options;
 }
 
@@ -79,7 +79,7 @@
 ServingOptions servingOptions(const ServingSettings &settings, Incarnation incarnation)
 {
     ServingOptions options;
-    options.self = {settings.instance, settings.peersAddress, settings.strength(), settings.zone};
+    options.self = {settings.instance, settings.peersAddress, settings.capacity(), settings.zone};
     options.seeds = settings.seeds;
     options.regions = settings.zones;
     options.incarnation = static_cast<std::uint64_t>(incarnation);
@@ -109,7 +109,7 @@
                       }}
     , m_readyServer{loop, readyOptions(settings),
                     [this](const HttpRequest &, const std::shared_ptr<HttpResponder> &responder) {
-                        responder->answer({m_reducer.canServe() ? 200 : 503, {}, {}});
+                        responder->respond({m_reducer.canServe() ? 200 : 503, {}, {}});
                     }}
 {
     if (!settings.metricsAddress.empty()) {
@@ -117,7 +117,7 @@
         options.listen = settings.metricsAddress;
         m_metricsServer.emplace(
             loop, options, [this](const HttpRequest &, const std::shared_ptr<HttpResponder> &responder) {
-                responder->answer({200, {{"content-type", "text/plain; version=0.0.4"}}, m_metrics.text()});
+                responder->respond({200, {{"content-type", "text/plain; version=0.0.4"}}, m_metrics.text()});
             });
     }
 }
@@ -162,7 +162,7 @@
     m_runner.submit(DrainRequested{});
 }
 
-void ServingApp::reload(const ServingSettings &settings)
+void ServingApp::applySettings(const ServingSettings &settings)
 {
     const bool needsRestart = settings.callersAddress != m_settings.callersAddress
         || settings.readyAddress != m_settings.readyAddress || settings.peersAddress != m_settings.peersAddress
@@ -189,14 +189,14 @@
     m_runner.submit(CatalogChanged{std::move(catalog)});
 }
 
-EndpointDirectory &ServingApp::directory() noexcept
+EndpointDirectory &ServingApp::endpointDirectory() noexcept
 {
     return m_directory;
 }
 
-void ServingApp::endpointsChanged()
+void ServingApp::applyEndpointChanges()
 {
-    if (auto list = m_directory.takeChange(m_loop.now())) {
+    if (auto list = m_directory.takeChangedList(m_loop.now())) {
         m_runner.submit(EndpointsChanged{std::move(list)});
     }
 }
@@ -227,25 +227,25 @@
     return m_reducer.livePeers(m_loop.now());
 }
 
-std::vector<std::string> ServingApp::readers() const
+std::vector<std::string> ServingApp::storeReaders() const
 {
-    return m_reducer.readers(m_loop.now());
+    return m_reducer.platformReaders(m_loop.now());
 }
 
-void ServingApp::onPublishedAsked(StoreHandlers handlers)
+void ServingApp::setStoreHandlers(StoreHandlers handlers)
 {
-    m_peers.onPublishedAsked(std::move(handlers));
+    m_peers.setStoreHandlers(std::move(handlers));
 }
 
-void ServingApp::askPublished(const PeerInfo &peer, const std::string &query,
-                              std::function<void(const std::string &body)> onBody)
+void ServingApp::requestStoreSnapshot(const PeerInfo &peer, const std::string &query,
+                                      std::function<void(const std::string &body)> onBody)
 {
-    m_peers.askPublished(peer, query, std::move(onBody));
+    m_peers.requestStoreSnapshot(peer, query, std::move(onBody));
 }
 
 void ServingApp::pollDirectory()
 {
-    endpointsChanged();
+    applyEndpointChanges();
     m_loop.at(m_loop.now() + maxTickInterval, [this] { pollDirectory(); });
 }
 
@@ -255,18 +255,18 @@
         return;
     }
     const CallId call{++m_lastCallId};
-    auto read = m_codec.readRequest(call, std::move(request));
+    auto read = m_codec.decodeRequest(call, std::move(request));
     if (!read.ok()) {
         log({Severity::Info,
              Part::Net,
              "A malformed request was rejected.",
              {{"reason", std::string{read.status().message()}}}});
-        responder->answer({400, {}, {}});
+        responder->respond({400, {}, {}});
         return;
     }
     responder->onClosed([this, call] {
         if (m_callers.erase(call) != 0) {
-            m_runner.submit(CallerLeft{call});
+            m_runner.submit(CallerDisconnected{call});
         }
     });
     m_callers.emplace(call, Caller{responder, read->attempt});
@@ -287,7 +287,7 @@
          Part::Net,
          "A request was rejected: its head is too large.",
          {{"bytes", absl::StrCat(bytes)}, {"most", absl::StrCat(m_limits.maxHeadBytes)}}});
-    responder.answer({statusHeadTooLarge, {}, {}});
+    responder.respond({statusHeadTooLarge, {}, {}});
     return false;
 }
 
@@ -317,19 +317,19 @@
     std::visit([this](const auto &value) { carryOut(value); }, effect);
 }
 
-void ServingApp::carryOut(const RefuseCaller &effect)
+void ServingApp::carryOut(const SendErrorResponse &effect)
 {
     const Caller caller = extractCaller(effect.call);
     if (caller.responder) {
-        caller.responder->answer(m_codec.writeRefusal(effect, caller.attempt));
+        caller.responder->respond(m_codec.encodeErrorResponse(effect, caller.attempt));
     }
 }
 
-void ServingApp::carryOut(const AnswerCaller &effect)
+void ServingApp::carryOut(const SendResponse &effect)
 {
     const Caller caller = extractCaller(effect.call);
     if (caller.responder) {
-        caller.responder->answer({effect.status, effect.headers, effect.body});
+        caller.responder->respond({effect.status, effect.headers, effect.body});
     }
 }
 
@@ -341,7 +341,7 @@
     }
 }
 
-void ServingApp::carryOut(const StreamEvents &effect)
+void ServingApp::carryOut(const SendStreamEvents &effect)
 {
     const auto found = m_callers.find(effect.call);
     if (found == m_callers.end()) {
@@ -352,7 +352,7 @@
     if (responder->unsent() > maxUnsentBytes) {
         m_callers.erase(found);
         responder->abort();
-        m_runner.submit(CallerLeft{effect.call});
+        m_runner.submit(CallerDisconnected{effect.call});
     }
 }
 
@@ -379,24 +379,24 @@
     hooks.head = [this, run](int status, const HttpHeaders &headers) {
         const auto found = m_runs.find(run);
         if (found != m_runs.end()) {
-            m_runner.submit(RunAnswered{run, m_codec.readAnswerHead(*found->second.request, status, headers)});
+            m_runner.submit(RunHeadReceived{run, m_codec.decodeResponseHead(*found->second.request, status, headers)});
         }
     };
     hooks.piece = [this, run](std::string_view piece) {
         if (m_runs.contains(run)) {
-            m_runner.submit(RunReceived{run, std::string{piece}});
+            m_runner.submit(RunBodyReceived{run, std::string{piece}});
         }
     };
-    hooks.done = [this, run](const HttpAnswer &) {
+    hooks.done = [this, run](const HttpResponse &) {
         if (m_runs.erase(run) != 0) {
-            m_runner.submit(RunEnded{run});
+            m_runner.submit(RunCompleted{run});
         }
     };
     hooks.failed = [this, run](HttpFailure failure) {
         failRun(run, failure);
     };
     m_runs[run] = Run{{}, effect.request};
-    m_runs[run].call = m_endpointClient.call(effect.address, m_codec.writeRun(effect), std::move(hooks));
+    m_runs[run].call = m_endpointClient.call(effect.address, m_codec.encodeRun(effect), std::move(hooks));
 }
 
 void ServingApp::failRun(RunNumber run, HttpFailure failure)
@@ -404,7 +404,7 @@
     if (m_runs.erase(run) == 0) {
         return;
     }
-    m_runner.submit(RunFailed{run, failure == HttpFailure::Connect ? RunFailure::Unreached : RunFailure::Broken});
+    m_runner.submit(RunFailed{run, failure == HttpFailure::Connect ? RunFailure::ConnectFailed : RunFailure::Broken});
 }
 
 void ServingApp::carryOut(const CancelRun &effect)
@@ -419,18 +419,18 @@
 {
     const StageCallNumber call = effect.call;
     HttpCallHooks hooks;
-    hooks.done = [this, call, items = effect.items.size()](const HttpAnswer &answer) {
+    hooks.done = [this, call, items = effect.items.size()](const HttpResponse &answer) {
         if (m_stageCalls.erase(call) != 0) {
-            m_runner.submit(m_codec.readStageAnswer(call, items, answer));
+            m_runner.submit(m_codec.decodeStageResponse(call, items, answer));
         }
     };
     hooks.failed = [this, call](HttpFailure failure) {
         if (m_stageCalls.erase(call) != 0) {
             m_runner.submit(StageCallEnded{
-                call, failure == HttpFailure::Connect ? StageCallEnd::Unreached : StageCallEnd::Broken, {}});
+                call, failure == HttpFailure::Connect ? StageCallStatus::ConnectFailed : StageCallStatus::Broken, {}});
         }
     };
-    m_stageCalls[call] = m_endpointClient.call(effect.address, m_codec.writeStageCall(effect), std::move(hooks));
+    m_stageCalls[call] = m_endpointClient.call(effect.address, m_codec.encodeStageCall(effect), std::move(hooks));
 }
 
 void ServingApp::carryOut(const CancelStageCall &effect)
@@ -441,10 +441,10 @@
     }
 }
 
-void ServingApp::carryOut(const FreeResults &effect)
+void ServingApp::carryOut(const ReleaseResults &effect)
 {
     HttpCallHooks hooks;
-    hooks.done = [](const HttpAnswer &) {
+    hooks.done = [](const HttpResponse &) {
     };
     hooks.failed = [this, address = effect.address](HttpFailure failure) {
         // No retry needed: the results expire at the endpoint.
@@ -453,25 +453,25 @@
              "Results could not be released at their endpoint.",
              {{"address", address}, {"reason", std::string{enumName(failure)}}}});
     };
-    m_endpointClient.call(effect.address, m_codec.writeRelease(effect.handles), std::move(hooks));
+    m_endpointClient.call(effect.address, m_codec.encodeRelease(effect.handles), std::move(hooks));
 }
 
-void ServingApp::carryOut(const HandTask &effect)
+void ServingApp::carryOut(const DelegateTask &effect)
 {
     m_peers.carryOut(effect);
 }
 
-void ServingApp::carryOut(const RecallTask &effect)
+void ServingApp::carryOut(const CancelDelegatedTask &effect)
 {
     m_peers.carryOut(effect);
 }
 
-void ServingApp::carryOut(const AnswerPeerTask &effect)
+void ServingApp::carryOut(const CompletePeerTask &effect)
 {
     m_peers.carryOut(effect);
 }
 
-void ServingApp::carryOut(const TellReleased &effect)
+void ServingApp::carryOut(const NotifyReleasedResults &effect)
 {
     m_peers.carryOut(effect);
 }
@@ -492,7 +492,7 @@
 void ServingApp::finishDrain()
 {
     const TimePoint earliest = m_drainStartedAt + balancerRemovalTime;
-    if (m_loop.now() < earliest || m_reducer.inProgress() != 0) {
+    if (m_loop.now() < earliest || m_reducer.requestsInProgress() != 0) {
         m_loop.at(std::max(earliest, m_loop.now() + flushDelay), [this] { finishDrain(); });
         return;
     }
--- a/src/bergamottide/app/servingapp.h
+++ b/src/bergamottide/app/servingapp.h
@@ -27,16 +27,17 @@
 /*! @brief Functions that read and write the platform's HTTP formats. */
 struct ServingCodec
 {
-    std::function<absl::StatusOr<serving::CallerRequest>(CallId call, HttpRequest request)> readRequest;
-    std::function<HttpRequest(const serving::StartRun &run)> writeRun;
-    std::function<serving::EndpointAnswerHead(const serving::CallerRequest &request, int status,
-                                              const HttpHeaders &headers)>
-        readAnswerHead;
-    std::function<HttpAnswer(const serving::RefuseCaller &refusal, const std::string &attempt)> writeRefusal;
-    std::function<HttpRequest(const serving::StartStageCall &call)> writeStageCall;
-    std::function<serving::StageCallEnded(serving::StageCallNumber call, std::size_t items, const HttpAnswer &answer)>
-        readStageAnswer;
-    std::function<HttpRequest(const std::vector<std::string> &handles)> writeRelease;
+    std::function<absl::StatusOr<serving::CallerRequest>(CallId call, HttpRequest request)> decodeRequest;
+    std::function<HttpRequest(const serving::StartRun &run)> encodeRun;
+    std::function<serving::EndpointResponseHead(const serving::CallerRequest &request, int status,
+                                                const HttpHeaders &headers)>
+        decodeResponseHead;
+    std::function<HttpResponse(const serving::SendErrorResponse &refusal, const std::string &attempt)>
+        encodeErrorResponse;
+    std::function<HttpRequest(const serving::StartStageCall &call)> encodeStageCall;
+    std::function<serving::StageCallEnded(serving::StageCallNumber call, std::size_t items, const HttpResponse &answer)>
+        decodeStageResponse;
+    std::function<HttpRequest(const std::vector<std::string> &handles)> encodeRelease;
 };
 
 /**
@@ -74,7 +75,7 @@
      * @brief Applies changed seeds, retry limits and grace period; other settings need a restart.
      * @param settings Settings.
      */
-    void reload(const serving::ServingSettings &settings);
+    void applySettings(const serving::ServingSettings &settings);
 
     /**
      * @brief Activates a catalog unless its version is not newer than the active one.
@@ -83,10 +84,10 @@
     void setCatalog(std::shared_ptr<const serving::Catalog> catalog);
 
     /*! @brief Returns the directory of endpoints; call `endpointsChanged` after changing it. */
-    [[nodiscard]] serving::EndpointDirectory &directory() noexcept;
+    [[nodiscard]] serving::EndpointDirectory &endpointDirectory() noexcept;
 
     /*! @brief Applies changes of the directory. */
-    void endpointsChanged();
+    void applyEndpointChanges();
 
     /*! @brief Writes a line to the log. */
     void log(const LogLine &line);
@@ -95,13 +96,13 @@
     [[nodiscard]] std::vector<serving::PeerInfo> livePeers() const;
 
     /*! @brief Returns the peers that read the platform's store for this process; none if it reads the store itself. */
-    [[nodiscard]] std::vector<std::string> readers() const;
+    [[nodiscard]] std::vector<std::string> storeReaders() const;
 
     /**
      * @brief Sets the handlers of peers' requests for the data of the platform's store.
      * @param handlers Handlers.
      */
-    void onPublishedAsked(StoreHandlers handlers);
+    void setStoreHandlers(StoreHandlers handlers);
 
     /**
      * @brief Requests the data of the platform's store from a peer.
@@ -109,8 +110,8 @@
      * @param query Query string for the peer's handlers.
      * @param onBody Called with the body; not called if the peer returns none.
      */
-    void askPublished(const serving::PeerInfo &peer, const std::string &query,
-                      std::function<void(const std::string &body)> onBody);
+    void requestStoreSnapshot(const serving::PeerInfo &peer, const std::string &query,
+                              std::function<void(const std::string &body)> onBody);
 
 private:
     /*! @brief A caller without a final answer. */
@@ -128,21 +129,21 @@
 
     void handle(HttpRequest request, const std::shared_ptr<HttpResponder> &responder);
     void carryOut(serving::Effect effect);
-    void carryOut(const serving::RefuseCaller &effect);
-    void carryOut(const serving::AnswerCaller &effect);
+    void carryOut(const serving::SendErrorResponse &effect);
+    void carryOut(const serving::SendResponse &effect);
     void carryOut(const serving::BeginStream &effect);
-    void carryOut(const serving::StreamEvents &effect);
+    void carryOut(const serving::SendStreamEvents &effect);
     void carryOut(const serving::FinishStream &effect);
     void carryOut(const serving::AbortStream &effect);
     void carryOut(const serving::StartRun &effect);
     void carryOut(const serving::CancelRun &effect);
     void carryOut(const serving::StartStageCall &effect);
     void carryOut(const serving::CancelStageCall &effect);
-    void carryOut(const serving::FreeResults &effect);
-    void carryOut(const serving::HandTask &effect);
-    void carryOut(const serving::RecallTask &effect);
-    void carryOut(const serving::AnswerPeerTask &effect);
-    void carryOut(const serving::TellReleased &effect);
+    void carryOut(const serving::ReleaseResults &effect);
+    void carryOut(const serving::DelegateTask &effect);
+    void carryOut(const serving::CancelDelegatedTask &effect);
+    void carryOut(const serving::CompletePeerTask &effect);
+    void carryOut(const serving::NotifyReleasedResults &effect);
     void carryOut(const serving::SendHeartbeat &effect);
     void carryOut(const serving::Drained &effect);
     void carryOut(const LogLine &effect);
--- a/src/bergamottide/app/sideapp.cpp
+++ b/src/bergamottide/app/sidecarapp.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/app/sideapp.h"
+#include "bergamottide/app/sidecarapp.h"
 
 #include "bergamottide/app/startup.h"
 
@@ -15,10 +15,10 @@
 /*! @brief Upper bound of the body size on the admin port; fits the largest document that is validated there. */
 constexpr std::size_t maxAdminBodyBytes = 2u << 20;
 
-SideIdentity makeIdentity(const Settings &settings, Incarnation incarnation)
+SidecarIdentity makeIdentity(const Settings &settings, Incarnation incarnation)
 {
-    return SideIdentity{settings.instance, settings.region, settings.zone,
-                        settings.pool,     incarnation,     static_cast<std::uint64_t>(incarnation)};
+    return SidecarIdentity{settings.instance, settings.region, settings.zone,
+                           settings.pool,     incarnation,     static_cast<std::uint64_t>(incarnation)};
 }
 
 PlatformFeedOptions feedOptions(const Settings &settings, Incarnation incarnation)
@@ -39,13 +39,13 @@
 
 } // namespace
 
-SideApp::SideApp(Loop &loop, const Clock &clock, const Settings &settings, Incarnation incarnation)
+SidecarApp::SidecarApp(Loop &loop, const Clock &clock, const Settings &settings, Incarnation incarnation)
     : m_loop{loop}
     , m_settings{settings}
     , m_telemetry{settings, clock}
     , m_reducer{makeIdentity(settings, incarnation)}
     , m_runner{loop, m_reducer,
-               [this](SideEffect effect) {
+               [this](SidecarEffect effect) {
                    carryOut(std::move(effect));
                }}
     , m_admin{settings.adminKeyDigest, adminHooks()}
@@ -54,12 +54,13 @@
                         m_admin.handle(request, *responder);
                     }}
     , m_transport{loop, transportOptions(settings, incarnation), peerHooks()}
-    , m_peers{m_transport, settings.instance, Role::Side, [](const Instance &) { return false; }, removedPeerRetention}
+    , m_peers{m_transport, settings.instance, Role::Sidecar, [](const Instance &) { return false; },
+              removedPeerRetention}
     , m_feed{loop, feedOptions(settings, incarnation), feedHooks()}
 {
 }
 
-absl::Status SideApp::start()
+absl::Status SidecarApp::start()
 {
     absl::Status status = m_adminServer.listen();
     status.Update(m_transport.listen());
@@ -72,78 +73,78 @@
     return status;
 }
 
-void SideApp::drain(const std::string &cause)
+void SidecarApp::drain(const std::string &cause)
 {
     m_draining = true;
     m_runner.submit(DrainRequested{cause});
 }
 
-std::string SideApp::adminAddress() const
+std::string SidecarApp::adminAddress() const
 {
     return m_adminServer.address();
 }
 
-std::string SideApp::peersAddress() const
+std::string SidecarApp::peersAddress() const
 {
     return m_transport.address();
 }
 
-void SideApp::carryOut(SideEffect effect)
+void SidecarApp::carryOut(SidecarEffect effect)
 {
     std::visit([this](const auto &value) { carryOut(value); }, effect);
 }
 
-void SideApp::carryOut(const SendMessage &effect)
+void SidecarApp::carryOut(const SendMessage &effect)
 {
     m_transport.send(effect.to, effect.message);
 }
 
-void SideApp::carryOut(const EndpointStart &effect)
+void SidecarApp::carryOut(const StartEndpointRun &effect)
 {
     if (m_endpoint) {
         m_endpoint->start(effect);
         return;
     }
-    m_runner.submit(EndpointFinished{effect.run.run, EndpointResult::Refused, Reason::NoEndpoint});
+    m_runner.submit(EndpointRunEnded{effect.spec.run, EndpointResult::Refused, Reason::NoEndpoint});
 }
 
-void SideApp::carryOut(const EndpointCancel &effect)
+void SidecarApp::carryOut(const CancelEndpointRun &effect)
 {
     if (m_endpoint) {
         m_endpoint->cancel(effect.run);
     }
 }
 
-void SideApp::carryOut(const GiveOrder &effect)
+void SidecarApp::carryOut(const SendOrder &effect)
 {
     if (m_endpoint) {
-        m_endpoint->order(effect);
+        m_endpoint->sendOrder(effect);
         return;
     }
-    m_runner.submit(OrderAnswered{effect.fence, false});
+    m_runner.submit(OrderAnswered{effect.fencingToken, false});
 }
 
-void SideApp::carryOut(const DrainComplete &)
+void SidecarApp::carryOut(const DrainComplete &)
 {
     m_loop.at(m_loop.now() + flushDelay, [this] { m_loop.stop(); });
 }
 
-void SideApp::carryOut(const LogLine &line)
+void SidecarApp::carryOut(const LogLine &line)
 {
     m_telemetry.log(line);
 }
 
-void SideApp::carryOut(const AuditRecord &record)
+void SidecarApp::carryOut(const AuditRecord &record)
 {
     m_telemetry.audit(record);
 }
 
-void SideApp::carryOut(const Observe &observation)
+void SidecarApp::carryOut(const Observe &observation)
 {
     m_telemetry.observe(observation);
 }
 
-PlatformFeedHooks SideApp::feedHooks()
+PlatformFeedHooks SidecarApp::feedHooks()
 {
     PlatformFeedHooks hooks;
     hooks.document = [this](ConfigChanged change) {
@@ -172,7 +173,7 @@
     return hooks;
 }
 
-PeerHooks SideApp::peerHooks()
+PeerHooks SidecarApp::peerHooks()
 {
     PeerHooks hooks;
     hooks.up = [this](const InstanceName &peer) {
@@ -191,7 +192,7 @@
     return hooks;
 }
 
-AdminHooks SideApp::adminHooks()
+AdminHooks SidecarApp::adminHooks()
 {
     AdminHooks hooks;
     hooks.ready = [this] {
@@ -212,25 +213,25 @@
     return hooks;
 }
 
-EndpointHooks SideApp::endpointHooks()
+EndpointHooks SidecarApp::endpointHooks()
 {
     EndpointHooks hooks;
-    hooks.piece = [this](EndpointPiece piece) {
+    hooks.piece = [this](EndpointResultPiece piece) {
         m_runner.submit(std::move(piece));
     };
-    hooks.finished = [this](EndpointFinished finished) {
+    hooks.finished = [this](EndpointRunEnded finished) {
         m_runner.submit(finished);
     };
-    hooks.reported = [this](EndpointReport report) {
+    hooks.loadReported = [this](EndpointLoadReport report) {
         m_runner.submit(std::move(report));
     };
-    hooks.ordered = [this](OrderAnswered answered) {
+    hooks.orderAnswered = [this](OrderAnswered answered) {
         m_runner.submit(answered);
     };
     return hooks;
 }
 
-void SideApp::applyDocument(const std::shared_ptr<const Document> &document)
+void SidecarApp::applyDocument(const std::shared_ptr<const Document> &document)
 {
     m_reportPeriod = document->policy.reportPeriod;
     const auto pool = document->pools.find(m_settings.pool);
@@ -245,25 +246,25 @@
     settings.address = m_settings.endpointAddress;
     settings.kind = m_kind;
     settings.maxResultBytes = document->policy.maxResultBytes;
-    settings.silence = document->policy.maxDeadline;
+    settings.ioTimeout = document->policy.maxDeadline;
     m_endpoint = makeEndpointAdapter(m_loop, settings, endpointHooks());
 }
 
-void SideApp::pollEndpoint()
+void SidecarApp::pollEndpoint()
 {
     m_peers.closeExpired(m_loop.now());
     if (m_endpoint) {
-        m_endpoint->poll();
+        m_endpoint->requestLoad();
     }
     m_loop.at(m_loop.now() + m_reportPeriod, [this] { pollEndpoint(); });
 }
 
-bool SideApp::ready() const
+bool SidecarApp::ready() const
 {
     return !m_draining && m_endpoint != nullptr;
 }
 
-std::string SideApp::status() const
+std::string SidecarApp::status() const
 {
     nlohmann::json status = m_feed.status();
     status["instance"] = m_settings.instance.text();
--- a/src/bergamottide/app/sideapp.h
+++ b/src/bergamottide/app/sidecarapp.h
@@ -10,7 +10,7 @@
 #include "bergamottide/net/httpserver.h"
 #include "bergamottide/net/loop.h"
 #include "bergamottide/net/peertransport.h"
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 
 #include <absl/status/status.h>
 
@@ -26,7 +26,7 @@
  * admin port. The adapter is created when a configuration document sets the kind of the pool, and again when the kind
  * changes.
  */
-class SideApp
+class SidecarApp
 {
 public:
     /**
@@ -36,7 +36,7 @@
      * @param settings Settings of the process.
      * @param incarnation Number of this start of the process.
      */
-    SideApp(Loop &loop, const Clock &clock, const Settings &settings, Incarnation incarnation);
+    SidecarApp(Loop &loop, const Clock &clock, const Settings &settings, Incarnation incarnation);
 
     /*! @brief Opens the ports and starts to read configuration and instance list from the platform. */
     [[nodiscard]] absl::Status start();
@@ -54,11 +54,11 @@
     [[nodiscard]] std::string peersAddress() const;
 
 private:
-    void carryOut(SideEffect effect);
+    void carryOut(SidecarEffect effect);
     void carryOut(const SendMessage &effect);
-    void carryOut(const EndpointStart &effect);
-    void carryOut(const EndpointCancel &effect);
-    void carryOut(const GiveOrder &effect);
+    void carryOut(const StartEndpointRun &effect);
+    void carryOut(const CancelEndpointRun &effect);
+    void carryOut(const SendOrder &effect);
     void carryOut(const DrainComplete &effect);
     void carryOut(const LogLine &line);
     void carryOut(const AuditRecord &record);
@@ -77,8 +77,8 @@
     Loop &m_loop;
     Settings m_settings;
     Telemetry m_telemetry;
-    SideReducer m_reducer;
-    ReducerRunner<SideReducer, SideEvent, SideEffect, Tick> m_runner;
+    SidecarReducer m_reducer;
+    ReducerRunner<SidecarReducer, SidecarEvent, SidecarEffect, Tick> m_runner;
     AdminPort m_admin;
     HttpServer m_adminServer;
     PeerTransport m_transport;
--- a/src/bergamottide/app/startup.cpp
+++ b/src/bergamottide/app/startup.cpp
@@ -68,7 +68,7 @@
     return keys;
 }
 
-Incarnation drawIncarnation()
+Incarnation randomIncarnation()
 {
     std::uint64_t number = 0;
     while (number == 0) {
--- a/src/bergamottide/app/startup.h
+++ b/src/bergamottide/app/startup.h
@@ -36,7 +36,7 @@
 [[nodiscard]] absl::StatusOr<std::vector<TicketKey>> readTicketKeys(const std::vector<std::string> &files);
 
 /*! @brief Returns a random non-zero number that identifies this start of the process. */
-[[nodiscard]] Incarnation drawIncarnation();
+[[nodiscard]] Incarnation randomIncarnation();
 
 /*! @brief Returns the certificate files of the callers' port. */
 [[nodiscard]] TlsFiles callersTls(const Settings &settings);
--- a/src/bergamottide/ctl/load.cpp
+++ b/src/bergamottide/ctl/load.cpp
@@ -25,7 +25,7 @@
     return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-std::string outcomeOf(const HttpAnswer &answer)
+std::string outcomeOf(const HttpResponse &answer)
 {
     const Json body = Json::parse(answer.body, nullptr, false);
     if (body.is_object() && body.contains("outcome") && body["outcome"].is_string()) {
@@ -85,7 +85,7 @@
     {
         const TimePoint sent = m_clock.now();
         HttpCallHooks hooks;
-        hooks.done = [this, sent](const HttpAnswer &answer) {
+        hooks.done = [this, sent](const HttpResponse &answer) {
             m_summary.add(outcomeOf(answer), m_clock.now() - sent);
         };
         hooks.failed = [this, sent](HttpFailure) {
--- a/src/bergamottide/ctl/remote.cpp
+++ b/src/bergamottide/ctl/remote.cpp
@@ -33,7 +33,7 @@
 struct Exchange
 {
     std::string address;
-    std::optional<HttpAnswer> answer;
+    std::optional<HttpResponse> answer;
     std::string failure;
 };
 
@@ -50,7 +50,7 @@
         Exchange &exchange = exchanges[index];
         exchange.address = addresses[index];
         HttpCallHooks hooks;
-        hooks.done = [&exchange, &pending](HttpAnswer answer) {
+        hooks.done = [&exchange, &pending](HttpResponse answer) {
             exchange.answer = std::move(answer);
             --pending;
         };
@@ -160,7 +160,7 @@
         (void)checkAnswer(context, exchanges.front());
         return ExitCode::Failed;
     }
-    const HttpAnswer &answer = *exchanges.front().answer;
+    const HttpResponse &answer = *exchanges.front().answer;
     context.out << answer.body << '\n';
     return answer.status < minErrorStatus ? ExitCode::Ok : ExitCode::No;
 }
--- a/src/bergamottide/endpoint/endpointadapter.h
+++ b/src/bergamottide/endpoint/endpointadapter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bergamottide/net/loop.h"
-#include "bergamottide/side/sideevents.h"
+#include "bergamottide/sidecar/sidecarevents.h"
 
 #include <cstddef>
 #include <functional>
@@ -14,13 +14,13 @@
 struct EndpointHooks
 {
     /*! @brief Called for each piece of a result. */
-    std::function<void(EndpointPiece)> piece;
+    std::function<void(EndpointResultPiece)> piece;
     /*! @brief Called once for each started run, after its last piece; never called for a canceled run. */
-    std::function<void(EndpointFinished)> finished;
+    std::function<void(EndpointRunEnded)> finished;
     /*! @brief Called for each load report. */
-    std::function<void(EndpointReport)> reported;
+    std::function<void(EndpointLoadReport)> loadReported;
     /*! @brief Called for each answer to an order; an order without an answer counts as refused. */
-    std::function<void(OrderAnswered)> ordered;
+    std::function<void(OrderAnswered)> orderAnswered;
 };
 
 /*! @brief Address and limits of one endpoint. */
@@ -32,7 +32,7 @@
     /*! @brief Maximum size of one result in bytes; bounds the memory that an endless response can use. */
     std::size_t maxResultBytes{4u << 20};
     /*! @brief Time without data after which a run fails; must exceed the longest silence of a stage. */
-    Duration silence{std::chrono::seconds{30}};
+    Duration ioTimeout{std::chrono::seconds{30}};
 };
 
 /**
@@ -49,7 +49,7 @@
      * @brief Starts a run.
      * @param start Run with its input and its pool.
      */
-    virtual void start(const EndpointStart &start) = 0;
+    virtual void start(const StartEndpointRun &start) = 0;
 
     /**
      * @brief Cancels a run at the endpoint; no hook is called for it afterwards.
@@ -61,10 +61,10 @@
      * @brief Sends an order; refused for endpoints that accept none.
      * @param order Order with its fencing token.
      */
-    virtual void order(const GiveOrder &order) = 0;
+    virtual void sendOrder(const SendOrder &order) = 0;
 
     /*! @brief Requests a load report, which `reported` receives if the endpoint supports it. */
-    virtual void poll() = 0;
+    virtual void requestLoad() = 0;
 };
 
 /**
--- a/src/bergamottide/endpoint/endpointwire.cpp
+++ b/src/bergamottide/endpoint/endpointwire.cpp
@@ -80,30 +80,30 @@
     return absl::StrCat(run.request.text(), "-", run.stage, "-", run.attempt);
 }
 
-HttpRequest stageRequest(const EndpointStart &start)
+HttpRequest stageRequest(const StartEndpointRun &start)
 {
     HttpRequest request;
     request.method = "POST";
     request.path = "/v1/run";
-    request.headers = runHeaders(start.run);
-    request.body = absl::StrCat("{\"request\":", toJsonValue(start.run.body),
-                                ",\"previous\":", toJsonValue(start.run.previous), "}");
+    request.headers = runHeaders(start.spec);
+    request.body = absl::StrCat("{\"request\":", toJsonValue(start.spec.body),
+                                ",\"previous\":", toJsonValue(start.spec.previousResult), "}");
     return request;
 }
 
-HttpRequest serviceRequest(const EndpointStart &start)
+HttpRequest serviceRequest(const StartEndpointRun &start)
 {
     HttpRequest request;
     request.method = start.pool.method;
     request.path = start.pool.path;
-    request.headers = runHeaders(start.run);
-    request.body = start.run.body;
+    request.headers = runHeaders(start.spec);
+    request.body = start.spec.body;
     return request;
 }
 
-HttpRequest generateRequest(const EndpointStart &start, std::uint32_t fromToken, bool resume)
+HttpRequest generateRequest(const StartEndpointRun &start, std::uint32_t fromToken, bool resume)
 {
-    const StartRun &run = start.run;
+    const StartRun &run = start.spec;
     const Json engine{{"run", runName(run.run)},       {"model", run.model.text()},
                       {"adapter", run.adapter.text()}, {"version", run.modelVersion},
                       {"max_tokens", run.maxTokens},   {"priority", run.priority},
@@ -114,7 +114,7 @@
     request.headers = runHeaders(run);
     request.headers.emplace_back("accept", "text/event-stream");
     request.body = absl::StrCat("{\"engine\":", dump(engine), ",\"request\":", toJsonValue(run.body),
-                                ",\"previous\":", toJsonValue(run.previous), "}");
+                                ",\"previous\":", toJsonValue(run.previousResult), "}");
     return request;
 }
 
@@ -126,9 +126,9 @@
     return request;
 }
 
-HttpRequest orderRequest(const GiveOrder &order)
+HttpRequest orderRequest(const SendOrder &order)
 {
-    const Json body{{"fence", order.fence},
+    const Json body{{"fence", order.fencingToken},
                     {"kind", std::string{enumName(order.kind)}},
                     {"model", order.model.text()},
                     {"adapter", order.adapter.text()},
@@ -141,19 +141,19 @@
     return request;
 }
 
-std::optional<EndpointReport> parseLoadReport(std::string_view body)
+std::optional<EndpointLoadReport> parseLoadReport(std::string_view body)
 {
     const Json object = Json::parse(body, nullptr, false);
     if (!object.is_object()) {
         return std::nullopt;
     }
-    EndpointReport report;
+    EndpointLoadReport report;
     report.running = uint32Field(object, "running");
     report.waiting = uint32Field(object, "waiting");
     report.models = parseModels(object);
     const auto fence = object.find("fence");
     if (fence != object.end() && fence->is_number_unsigned()) {
-        report.fence = fence->get<std::uint64_t>();
+        report.highestFencingToken = fence->get<std::uint64_t>();
     }
     return report;
 }
--- a/src/bergamottide/endpoint/endpointwire.h
+++ b/src/bergamottide/endpoint/endpointwire.h
@@ -2,7 +2,7 @@
 
 #include "bergamottide/net/http.h"
 #include "bergamottide/net/httpclient.h"
-#include "bergamottide/side/sideevents.h"
+#include "bergamottide/sidecar/sidecarevents.h"
 
 #include <cstdint>
 #include <optional>
@@ -28,14 +28,14 @@
  * @param start Run to start.
  * @return `POST /v1/run` with the body `{"request":…,"previous":…}`.
  */
-[[nodiscard]] HttpRequest stageRequest(const EndpointStart &start);
+[[nodiscard]] HttpRequest stageRequest(const StartEndpointRun &start);
 
 /**
  * @brief Creates the request to a plain service.
  * @param start Run to start.
  * @return Method and path of the pool with the caller's unmodified body.
  */
-[[nodiscard]] HttpRequest serviceRequest(const EndpointStart &start);
+[[nodiscard]] HttpRequest serviceRequest(const StartEndpointRun &start);
 
 /**
  * @brief Creates the request for a generation by a model engine.
@@ -44,7 +44,7 @@
  * @param resume True to continue a run that the engine still holds; the engine then starts no new run.
  * @return `POST /v1/generate`.
  */
-[[nodiscard]] HttpRequest generateRequest(const EndpointStart &start, std::uint32_t fromToken, bool resume);
+[[nodiscard]] HttpRequest generateRequest(const StartEndpointRun &start, std::uint32_t fromToken, bool resume);
 
 /**
  * @brief Creates the request that cancels a run at an engine.
@@ -58,14 +58,14 @@
  * @param order Order to send.
  * @return `POST /v1/orders`.
  */
-[[nodiscard]] HttpRequest orderRequest(const GiveOrder &order);
+[[nodiscard]] HttpRequest orderRequest(const SendOrder &order);
 
 /**
  * @brief Parses a load report.
  * @param body Response body of `GET /v1/load`.
  * @return The report, or nothing if it is malformed.
  */
-[[nodiscard]] std::optional<EndpointReport> parseLoadReport(std::string_view body);
+[[nodiscard]] std::optional<EndpointLoadReport> parseLoadReport(std::string_view body);
 
 /*! @brief Data of a `token` event in an engine's stream. */
 struct TokenEvent
--- a/src/bergamottide/endpoint/engineadapter.cpp
+++ b/src/bergamottide/endpoint/engineadapter.cpp
@@ -38,13 +38,13 @@
 
 struct EngineAdapter::Run
 {
-    explicit Run(EndpointStart origin)
+    explicit Run(StartEndpointRun origin)
         : start{std::move(origin)}
         , tokens{start.receivedTokens}
     {
     }
 
-    EndpointStart start;
+    StartEndpointRun start;
     /*! @brief Number of tokens received so far, over all connections. */
     std::uint32_t tokens;
     std::size_t resultBytes{};
@@ -70,11 +70,11 @@
 {
 }
 
-void EngineAdapter::start(const EndpointStart &start)
+void EngineAdapter::start(const StartEndpointRun &start)
 {
     auto run = std::make_shared<Run>(start);
-    run->client = start.run.serial == noSerial ? &m_client : &m_atMostOnceClient;
-    m_runs[start.run.run] = run;
+    run->client = start.spec.serial == noSerial ? &m_client : &m_atMostOnceClient;
+    m_runs[start.spec.run] = run;
     sendRequest(run);
 }
 
@@ -91,7 +91,7 @@
     hooks.piece = [this, run](std::string_view bytes) {
         handleBytes(run, bytes);
     };
-    hooks.done = [this, run](const HttpAnswer &) {
+    hooks.done = [this, run](const HttpResponse &) {
         handleResponseEnd(run);
     };
     hooks.failed = [this, run](HttpFailure failure) {
@@ -111,28 +111,28 @@
     found->second->client->cancel(found->second->call);
     m_runs.erase(found);
     HttpCallHooks ignored;
-    ignored.done = [](const HttpAnswer &) {
+    ignored.done = [](const HttpResponse &) {
     };
     ignored.failed = [](HttpFailure) {
     };
     m_controlClient.call(m_settings.address, cancelRequest(run), std::move(ignored));
 }
 
-void EngineAdapter::order(const GiveOrder &order)
+void EngineAdapter::sendOrder(const SendOrder &order)
 {
-    const std::uint64_t fence = order.fence;
+    const std::uint64_t fence = order.fencingToken;
     HttpCallHooks hooks;
-    hooks.done = [this, fence](const HttpAnswer &answer) {
+    hooks.done = [this, fence](const HttpResponse &answer) {
         const CallOutcome outcome = classifyResponse(answer.status, answer.headers);
-        m_hooks.ordered(OrderAnswered{fence, outcome.result == EndpointResult::Completed});
+        m_hooks.orderAnswered(OrderAnswered{fence, outcome.result == EndpointResult::Completed});
     };
     hooks.failed = [this, fence](HttpFailure) {
-        m_hooks.ordered(OrderAnswered{fence, false});
+        m_hooks.orderAnswered(OrderAnswered{fence, false});
     };
     m_controlClient.call(m_settings.address, orderRequest(order), std::move(hooks));
 }
 
-void EngineAdapter::poll()
+void EngineAdapter::requestLoad()
 {
     if (m_loadCall != HttpCallId{}) {
         return;
@@ -141,11 +141,11 @@
     request.method = "GET";
     request.path = "/v1/load";
     HttpCallHooks hooks;
-    hooks.done = [this](const HttpAnswer &answer) {
+    hooks.done = [this](const HttpResponse &answer) {
         m_loadCall = {};
         auto report = parseLoadReport(answer.body);
         if (report && classifyResponse(answer.status, answer.headers).result == EndpointResult::Completed) {
-            m_hooks.reported(std::move(*report));
+            m_hooks.loadReported(std::move(*report));
         }
     };
     hooks.failed = [this](HttpFailure) {
@@ -159,7 +159,7 @@
     if (run->fault != Reason::None || run->responseOutcome.result != EndpointResult::Completed) {
         return;
     }
-    const RunId id = run->start.run.run;
+    const RunId id = run->start.spec.run;
     const bool isWithinLimits =
         run->parser.feed(bytes, [this, &run](const ServerSentEvent &event) { handleEvent(*run, event); });
     if (!isWithinLimits && run->fault == Reason::None) {
@@ -170,12 +170,12 @@
     }
     const Reason fault = run->fault;
     cancel(id);
-    m_hooks.finished(EndpointFinished{id, EndpointResult::Failed, fault});
+    m_hooks.finished(EndpointRunEnded{id, EndpointResult::Failed, fault});
 }
 
 void EngineAdapter::handleEvent(Run &run, const ServerSentEvent &event)
 {
-    const auto found = m_runs.find(run.start.run.run);
+    const auto found = m_runs.find(run.start.spec.run);
     if (found == m_runs.end() || run.endReceived || run.fault != Reason::None) {
         return;
     }
@@ -215,12 +215,12 @@
         return;
     }
     run.tokens += event.tokens;
-    m_hooks.piece(EndpointPiece{run.start.run.run, event.text, event.tokens});
+    m_hooks.piece(EndpointResultPiece{run.start.spec.run, event.text, event.tokens});
 }
 
 void EngineAdapter::handleResponseEnd(const std::shared_ptr<Run> &run)
 {
-    const RunId id = run->start.run.run;
+    const RunId id = run->start.spec.run;
     if (run->responseOutcome.result != EndpointResult::Completed) {
         // A refused resumption says nothing about the run itself, which has started.
         const bool refused = run->responseOutcome.result == EndpointResult::Refused && run->resumptions == 0;
@@ -237,7 +237,7 @@
 void EngineAdapter::handleFailure(const std::shared_ptr<Run> &run, HttpFailure failure)
 {
     const CallOutcome outcome = classifyFailure(failure);
-    const RunId id = run->start.run.run;
+    const RunId id = run->start.spec.run;
     if (outcome.result == EndpointResult::Refused && run->resumptions == 0) {
         finish(id, EndpointResult::Refused, outcome.reason);
         return;
@@ -256,7 +256,7 @@
 void EngineAdapter::resumeOrFail(const std::shared_ptr<Run> &run, Reason reason)
 {
     if (!run->headReceived || run->resumptions == maxResumptions) {
-        finish(run->start.run.run, EndpointResult::Failed, reason);
+        finish(run->start.spec.run, EndpointResult::Failed, reason);
         return;
     }
     ++run->resumptions;
@@ -266,7 +266,7 @@
 void EngineAdapter::finish(const RunId &run, EndpointResult result, Reason reason)
 {
     m_runs.erase(run);
-    m_hooks.finished(EndpointFinished{run, result, reason});
+    m_hooks.finished(EndpointRunEnded{run, result, reason});
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/endpoint/engineadapter.h
+++ b/src/bergamottide/endpoint/engineadapter.h
@@ -29,10 +29,10 @@
      */
     EngineAdapter(Loop &loop, const EndpointSettings &settings, EndpointHooks hooks);
 
-    void start(const EndpointStart &start) override;
+    void start(const StartEndpointRun &start) override;
     void cancel(const RunId &run) override;
-    void order(const GiveOrder &order) override;
-    void poll() override;
+    void sendOrder(const SendOrder &order) override;
+    void requestLoad() override;
 
 private:
     struct Run;
--- a/src/bergamottide/endpoint/unaryadapter.cpp
+++ b/src/bergamottide/endpoint/unaryadapter.cpp
@@ -9,7 +9,7 @@
 HttpClientOptions repeatableClientOptions(const EndpointSettings &settings)
 {
     HttpClientOptions options;
-    options.ioTimeout = settings.silence;
+    options.ioTimeout = settings.ioTimeout;
     options.maxBodyBytes = settings.maxResultBytes;
     return options;
 }
@@ -31,12 +31,12 @@
 {
 }
 
-void UnaryAdapter::start(const EndpointStart &start)
+void UnaryAdapter::start(const StartEndpointRun &start)
 {
-    const RunId run = start.run.run;
-    HttpClient &client = start.run.serial == noSerial ? m_client : m_atMostOnceClient;
+    const RunId run = start.spec.run;
+    HttpClient &client = start.spec.serial == noSerial ? m_client : m_atMostOnceClient;
     HttpCallHooks hooks;
-    hooks.done = [this, run](HttpAnswer answer) {
+    hooks.done = [this, run](HttpResponse answer) {
         handleResponse(run, std::move(answer));
     };
     hooks.failed = [this, run](HttpFailure failure) {
@@ -56,25 +56,25 @@
     m_calls.erase(found);
 }
 
-void UnaryAdapter::order(const GiveOrder &order)
+void UnaryAdapter::sendOrder(const SendOrder &order)
 {
     const std::weak_ptr<bool> alive = m_alive;
-    m_loop.post([this, alive, fence = order.fence] {
+    m_loop.post([this, alive, fence = order.fencingToken] {
         if (!alive.expired()) {
-            m_hooks.ordered(OrderAnswered{fence, false});
+            m_hooks.orderAnswered(OrderAnswered{fence, false});
         }
     });
 }
 
-void UnaryAdapter::poll()
+void UnaryAdapter::requestLoad()
 {
 }
 
-void UnaryAdapter::handleResponse(const RunId &run, HttpAnswer answer)
+void UnaryAdapter::handleResponse(const RunId &run, HttpResponse answer)
 {
     const CallOutcome outcome = classifyResponse(answer.status, answer.headers);
     if (outcome.result == EndpointResult::Completed && !answer.body.empty()) {
-        m_hooks.piece(EndpointPiece{run, std::move(answer.body), 0});
+        m_hooks.piece(EndpointResultPiece{run, std::move(answer.body), 0});
     }
     finish(run, outcome.result, outcome.reason);
 }
@@ -82,7 +82,7 @@
 void UnaryAdapter::finish(const RunId &run, EndpointResult result, Reason reason)
 {
     m_calls.erase(run);
-    m_hooks.finished(EndpointFinished{run, result, reason});
+    m_hooks.finished(EndpointRunEnded{run, result, reason});
 }
 
 } // namespace bergamottide
--- a/src/bergamottide/endpoint/unaryadapter.h
+++ b/src/bergamottide/endpoint/unaryadapter.h
@@ -18,7 +18,7 @@
 {
 public:
     /*! @brief Creates the HTTP request of a run. */
-    using MakeRequest = std::function<HttpRequest(const EndpointStart &start)>;
+    using MakeRequest = std::function<HttpRequest(const StartEndpointRun &start)>;
 
     /**
      * @brief Creates an adapter.
@@ -29,10 +29,10 @@
      */
     UnaryAdapter(Loop &loop, const EndpointSettings &settings, MakeRequest makeRequest, EndpointHooks hooks);
 
-    void start(const EndpointStart &start) override;
+    void start(const StartEndpointRun &start) override;
     void cancel(const RunId &run) override;
-    void order(const GiveOrder &order) override;
-    void poll() override;
+    void sendOrder(const SendOrder &order) override;
+    void requestLoad() override;
 
 private:
     struct Call
@@ -41,7 +41,7 @@
         HttpCallId id{};
     };
 
-    void handleResponse(const RunId &run, HttpAnswer answer);
+    void handleResponse(const RunId &run, HttpResponse answer);
     void finish(const RunId &run, EndpointResult result, Reason reason);
 
     Loop &m_loop;
--- a/src/bergamottide/engines/engineplacement.cpp
+++ b/src/bergamottide/engines/engineplacement.cpp
@@ -97,7 +97,7 @@
 class CostModel
 {
 public:
-    CostModel(EngineTable &table, const std::vector<EngineCandidate> &candidates, const GenerationNeeds &query,
+    CostModel(EngineTable &table, const std::vector<EngineCandidate> &candidates, const GenerationQuery &query,
               TimePoint now)
         : m_table{table}
         , m_query{query}
@@ -119,13 +119,13 @@
         PricedChoice out;
         EngineChoice &choice = out.choice;
         choice.engine = candidate.engine;
-        choice.ahead = state == nullptr ? 0.0 : state->backlog.totalTokens(m_prefillRate, m_now);
-        choice.toRead = tokensBetween(m_query.chain, links, m_query.chain.size());
+        choice.queuedTokens = state == nullptr ? 0.0 : state->backlog.totalTokens(m_prefillRate, m_now);
+        choice.prefillTokens = tokensBetween(m_query.chain, links, m_query.chain.size());
         out.cost += fetch(choice, tokensBetween(m_query.chain, links, m_coverage.maxReadyLinks));
-        const double prefillTokens = static_cast<double>(choice.toRead);
-        choice.expected =
-            std::chrono::duration_cast<Duration>(m_firstEventModel.expected(choice.ahead + prefillTokens) * slowness);
-        out.cost += seconds(choice.expected) + prefillWeight * slowness * prefillTokens / m_prefillRate;
+        const double prefillTokens = static_cast<double>(choice.prefillTokens);
+        choice.expectedFirstEvent = std::chrono::duration_cast<Duration>(
+            m_firstEventModel.expected(choice.queuedTokens + prefillTokens) * slowness);
+        out.cost += seconds(choice.expectedFirstEvent) + prefillWeight * slowness * prefillTokens / m_prefillRate;
         out.cost += secondsPerRun * candidate.running;
         if (candidate.engine == m_preferredEngine) {
             out.cost -= preferredEngineShare * prefillTokens / m_prefillRate;
@@ -144,12 +144,12 @@
             return 0.0;
         }
         choice.fetchFrom = m_coverage.fetchSource;
-        choice.toRead -= tokens;
+        choice.prefillTokens -= tokens;
         return static_cast<double>(tokens) * (1.0 / m_query.fetchRate + fetchWeight / m_prefillRate);
     }
 
     const EngineTable &m_table;
-    const GenerationNeeds &m_query;
+    const GenerationQuery &m_query;
     TimePoint m_now;
     const FirstEventModel &m_firstEventModel;
     double m_prefillRate;
@@ -161,7 +161,7 @@
 
 // Compares tokens instead of requests, since prompts differ widely in length.
 std::optional<EngineChoice> pickEngine(EngineTable &table, const std::vector<EngineCandidate> &candidates,
-                                       const GenerationNeeds &query, TimePoint now)
+                                       const GenerationQuery &query, TimePoint now)
 {
     const CostModel costModel{table, candidates, query, now};
     const std::uint64_t tieKey = XXH3_64bits(query.attempt.data(), query.attempt.size());
--- a/src/bergamottide/engines/engineplacement.h
+++ b/src/bergamottide/engines/engineplacement.h
@@ -24,7 +24,7 @@
 };
 
 /*! @brief Generation to be placed. */
-struct GenerationNeeds
+struct GenerationQuery
 {
     PoolName pool;
     const PromptChain &chain;
@@ -44,11 +44,11 @@
     /*! @brief Engine from which cached parts of the prompt are fetched; empty if none are. */
     InstanceName fetchFrom;
     /*! @brief Tokens of the prompt that the engine has to prefill. */
-    std::uint64_t toRead{};
+    std::uint64_t prefillTokens{};
     /*! @brief Tokens that the engine has to prefill for earlier generations. */
-    double ahead{};
+    double queuedTokens{};
     /*! @brief Expected time to the first event of the generation. */
-    Duration expected{};
+    Duration expectedFirstEvent{};
 };
 
 /**
@@ -65,6 +65,6 @@
  * @return The choice, or nothing if all candidates are excluded.
  */
 [[nodiscard]] std::optional<EngineChoice> pickEngine(EngineTable &table, const std::vector<EngineCandidate> &candidates,
-                                                     const GenerationNeeds &query, TimePoint now);
+                                                     const GenerationQuery &query, TimePoint now);
 
 } // namespace bergamottide::engines
--- a/src/bergamottide/engines/enginereport.h
+++ b/src/bergamottide/engines/enginereport.h
@@ -10,7 +10,7 @@
 namespace bergamottide::engines {
 
 /*! @brief Pending prompt tokens at an engine for the generations of one process. */
-struct EngineWork
+struct PendingPrefill
 {
     InstanceName engine;
     std::uint64_t tokens{};
@@ -22,7 +22,7 @@
     InstanceName engine;
     PromptChain chain;
     /*! @brief Expected time from the creation of the report until the prompt is cached. */
-    Duration readIn{};
+    Duration timeUntilCached{};
 };
 
 /*! @brief Report of a process on its generations, which its peers take into account when placing theirs. */
@@ -35,7 +35,7 @@
     /*! @brief Increases with each report of the process; older reports are ignored. */
     std::uint64_t sequence{};
     /*! @brief Engines with pending prompt tokens of the process; all others have none. */
-    std::vector<EngineWork> work;
+    std::vector<PendingPrefill> pendingPrefills;
     std::vector<PlacedPrompt> placed;
 };
 
--- a/src/bergamottide/engines/enginetable.cpp
+++ b/src/bergamottide/engines/enginetable.cpp
@@ -36,21 +36,21 @@
     }
 }
 
-void EngineTable::sent(SentGeneration generation, TimePoint now)
+void EngineTable::recordSent(SentGeneration generation, TimePoint now)
 {
     const auto engine = m_engines.find(generation.engine);
     if (engine == m_engines.end()) {
         return;
     }
     EngineState &state = engine->second;
-    state.prefixCache.insert(generation.chain, state.listing.capacity, now + generation.expected);
-    state.backlog.add(generation.number, generation.toRead, now);
-    m_recentPlacements.push_back({generation.engine, generation.chain, now + generation.expected, now});
+    state.prefixCache.insert(generation.chain, state.listing.capacity, now + generation.expectedFirstEvent);
+    state.backlog.add(generation.number, generation.prefillTokens, now);
+    m_recentPlacements.push_back({generation.engine, generation.chain, now + generation.expectedFirstEvent, now});
     const GenerationNumber number = generation.number;
     m_pending.insert_or_assign(number, PendingGeneration{std::move(generation), now});
 }
 
-void EngineTable::began(GenerationNumber number, TimePoint now)
+void EngineTable::recordFirstEvent(GenerationNumber number, TimePoint now)
 {
     const auto found = m_pending.find(number);
     if (found == m_pending.end()) {
@@ -61,10 +61,10 @@
         learnFirstEvent(found->second, engine->second, now);
         engine->second.prefixCache.insert(generation.chain, engine->second.listing.capacity, now);
     }
-    ended(number, now);
+    recordEnd(number, now);
 }
 
-void EngineTable::ended(GenerationNumber number, TimePoint now)
+void EngineTable::recordEnd(GenerationNumber number, TimePoint now)
 {
     const auto node = m_pending.extract(number);
     if (node.empty()) {
@@ -81,7 +81,7 @@
     const Duration time = now - pending.at;
     FirstEventModel &firstEvents = m_models[engine.listing.pool];
     const double previous = currentSlowness(engine, now);
-    const double tokens = static_cast<double>(generation.toRead) + generation.ahead;
+    const double tokens = static_cast<double>(generation.prefillTokens) + generation.queuedTokens;
     const Duration expected = firstEvents.expected(tokens);
     firstEvents.learn(tokens, time, previous);
     if (expected <= Duration::zero()) {
@@ -93,7 +93,7 @@
     engine.slownessAt = now;
 }
 
-void EngineTable::told(const EngineReport &report, TimePoint now)
+void EngineTable::applyReport(const EngineReport &report, TimePoint now)
 {
     const std::pair position{report.incarnation, report.sequence};
     const auto [last, isNew] = m_lastPositions.try_emplace(report.origin, position);
@@ -105,7 +105,8 @@
     applyPeerWork(report, now);
     for (const PlacedPrompt &placed : report.placed) {
         if (const auto engine = m_engines.find(placed.engine); engine != m_engines.end()) {
-            engine->second.prefixCache.insert(placed.chain, engine->second.listing.capacity, now + placed.readIn);
+            engine->second.prefixCache.insert(placed.chain, engine->second.listing.capacity,
+                                              now + placed.timeUntilCached);
         }
     }
 }
@@ -113,7 +114,7 @@
 void EngineTable::applyPeerWork(const EngineReport &report, TimePoint now)
 {
     std::set<InstanceName> previous = std::exchange(m_reportedEngines[report.origin], {});
-    for (const EngineWork &work : report.work) {
+    for (const PendingPrefill &work : report.pendingPrefills) {
         previous.erase(work.engine);
         const auto engine = m_engines.find(work.engine);
         if (engine == m_engines.end()) {
@@ -129,7 +130,7 @@
     }
 }
 
-EngineReport EngineTable::report(const InstanceName &self, std::uint64_t incarnation, TimePoint now)
+EngineReport EngineTable::nextReport(const InstanceName &self, std::uint64_t incarnation, TimePoint now)
 {
     while (!m_recentPlacements.empty()
            && (now - m_recentPlacements.front().sentAt > placementReportTime
@@ -143,7 +144,7 @@
     for (const auto &[name, engine] : m_engines) {
         const double tokens = engine.backlog.ownTokens(model(engine.listing.pool).tokensPerSecond(), now);
         if (tokens >= 1.0) {
-            out.work.push_back({name, static_cast<std::uint64_t>(tokens)});
+            out.pendingPrefills.push_back({name, static_cast<std::uint64_t>(tokens)});
         }
     }
     for (const RecentPlacement &placement : m_recentPlacements) {
--- a/src/bergamottide/engines/enginetable.h
+++ b/src/bergamottide/engines/enginetable.h
@@ -48,11 +48,11 @@
     InstanceName engine;
     PromptChain chain;
     /*! @brief Tokens of the prompt that the engine has to prefill. */
-    std::uint64_t toRead{};
+    std::uint64_t prefillTokens{};
     /*! @brief Tokens that the engine has to prefill for earlier generations. */
-    double ahead{};
+    double queuedTokens{};
     /*! @brief Expected time to the first event. */
-    Duration expected{};
+    Duration expectedFirstEvent{};
 };
 
 /**
@@ -73,16 +73,16 @@
     void setEngines(const std::vector<EngineListing> &listings);
 
     /*! @brief Records a generation that is sent to an engine. */
-    void sent(SentGeneration generation, TimePoint now);
+    void recordSent(SentGeneration generation, TimePoint now);
 
     /*! @brief Records the first event of a generation, with which its prefill is complete. */
-    void began(GenerationNumber number, TimePoint now);
+    void recordFirstEvent(GenerationNumber number, TimePoint now);
 
     /*! @brief Records the end of a generation, with or without a first event. */
-    void ended(GenerationNumber number, TimePoint now);
+    void recordEnd(GenerationNumber number, TimePoint now);
 
     /*! @brief Applies the report of a peer, received directly or forwarded by another one; ignores outdated reports. */
-    void told(const EngineReport &report, TimePoint now);
+    void applyReport(const EngineReport &report, TimePoint now);
 
     /**
      * @brief Creates the next report of this process for its peers.
@@ -90,7 +90,7 @@
      * @param incarnation Identifies this run of the process.
      * @param now Current time.
      */
-    [[nodiscard]] EngineReport report(const InstanceName &self, std::uint64_t incarnation, TimePoint now);
+    [[nodiscard]] EngineReport nextReport(const InstanceName &self, std::uint64_t incarnation, TimePoint now);
 
     /*! @brief Returns the state of an engine, or null if it is not listed. */
     [[nodiscard]] const EngineState *find(const InstanceName &engine) const;
--- a/src/bergamottide/entry/entrycontext.h
+++ b/src/bergamottide/entry/entrycontext.h
@@ -1,16 +1,16 @@
 #pragma once
 
-#include "bergamottide/admission/admission.h"
+#include "bergamottide/admission/admissioncontrol.h"
 #include "bergamottide/entry/entryreducer.h"
 #include "bergamottide/entry/hedging.h"
 #include "bergamottide/entry/peerstatetable.h"
 #include "bergamottide/entry/requesttable.h"
 #include "bergamottide/entry/timerqueue.h"
-#include "bergamottide/placement/ejector.h"
+#include "bergamottide/placement/attemptbudget.h"
 #include "bergamottide/placement/endpointtable.h"
+#include "bergamottide/placement/outlierejector.h"
 #include "bergamottide/placement/placement.h"
-#include "bergamottide/placement/serviceestimator.h"
-#include "bergamottide/placement/sharebudget.h"
+#include "bergamottide/placement/servicetimeestimator.h"
 
 #include <memory>
 #include <string>
@@ -69,11 +69,11 @@
     std::size_t entryCount{1};
     EndpointTable table;
     Placement placement;
-    Admission admission;
-    Ejector ejector;
-    ServiceEstimator estimator;
-    ShareBudget retryBudget;
-    ShareBudget hedgeBudget;
+    AdmissionControl admission;
+    OutlierEjector ejector;
+    ServiceTimeEstimator estimator;
+    AttemptBudget retryBudget;
+    AttemptBudget hedgeBudget;
     Hedging hedging;
     TimerQueue timers;
     RequestTable requests;
--- a/src/bergamottide/entry/entryevents.h
+++ b/src/bergamottide/entry/entryevents.h
@@ -23,7 +23,7 @@
     /*! @brief Random, or derived from workspace and idempotency key. */
     RequestId request;
     /*! @brief The identity was derived from an idempotency key. */
-    bool keyed{};
+    bool hasIdempotencyKey{};
     /*! @brief Lower case hexadecimal SHA-256 digest of the bearer key. */
     std::string keyDigest;
     PipelineName pipeline;
@@ -46,7 +46,7 @@
 };
 
 /*! @brief Event: a caller requests the result of the request that a ticket identifies. */
-struct CallerFetched
+struct FetchRequested
 {
     CallId call{};
     std::string keyDigest;
@@ -59,7 +59,7 @@
 };
 
 /*! @brief Event: a caller cancels the request that a ticket identifies. */
-struct CallerCanceled
+struct CancelRequested
 {
     CallId call{};
     std::string keyDigest;
@@ -117,7 +117,7 @@
 };
 
 /*! @brief Event handled by an entry. */
-using EntryEvent = std::variant<CallerSubmitted, CallerFetched, CallerCanceled, CallerGone, PeerMessage, PeerUp,
+using EntryEvent = std::variant<CallerSubmitted, FetchRequested, CancelRequested, CallerGone, PeerMessage, PeerUp,
                                 PeerDown, ConfigChanged, ViewChanged, DrainRequested, Tick>;
 
 /*! @brief Effect: send a message to another process. */
@@ -134,21 +134,21 @@
 };
 
 /*! @brief Effect: send the caller its ticket, before a stage that must not be repeated is started. */
-struct CallerTicket
+struct SendTicket
 {
     CallId call{};
     Ticket ticket;
 };
 
 /*! @brief Effect: send part of the result to a caller that streams it. */
-struct CallerPiece
+struct SendResultPiece
 {
     CallId call{};
     std::string piece;
 };
 
 /*! @brief Effect: send the final answer; the last effect for its call. */
-struct CallerAnswer
+struct SendAnswer
 {
     CallId call{};
     RequestId request;
@@ -170,7 +170,7 @@
 };
 
 /*! @brief Effect produced by an entry. */
-using EntryEffect = std::variant<SendMessage, ReopenStream, CallerTicket, CallerPiece, CallerAnswer, DrainComplete,
+using EntryEffect = std::variant<SendMessage, ReopenStream, SendTicket, SendResultPiece, SendAnswer, DrainComplete,
                                  LogLine, AuditRecord, Observe>;
 
 /*! @brief Effects of an event, in the order of their execution. */
--- a/src/bergamottide/entry/entryreducer.cpp
+++ b/src/bergamottide/entry/entryreducer.cpp
@@ -30,8 +30,8 @@
     }
 
     void handle(const CallerSubmitted &event);
-    void handle(const CallerFetched &event);
-    void handle(const CallerCanceled &event);
+    void handle(const FetchRequested &event);
+    void handle(const CancelRequested &event);
     void handle(const CallerGone &event);
     void handle(const PeerMessage &event);
     void handle(const PeerUp &event);
@@ -135,12 +135,12 @@
     intake.handleSubmission(event);
 }
 
-void EntryReducer::State::handle(const CallerFetched &event)
+void EntryReducer::State::handle(const FetchRequested &event)
 {
     intake.handleFetch(event);
 }
 
-void EntryReducer::State::handle(const CallerCanceled &event)
+void EntryReducer::State::handle(const CancelRequested &event)
 {
     intake.handleCancel(event);
 }
--- a/src/bergamottide/entry/fetches.cpp
+++ b/src/bergamottide/entry/fetches.cpp
@@ -19,7 +19,7 @@
 {
 }
 
-void Fetches::fetch(const CallerFetched &fetched)
+void Fetches::fetch(const FetchRequested &fetched)
 {
     const Duration wait = std::clamp(fetched.deadline, Duration{1}, m_context.policy().maxDeadline);
     Fetch fetch{.call = fetched.call,
@@ -31,7 +31,7 @@
     add(std::move(fetch));
 }
 
-void Fetches::cancel(const CallerCanceled &canceled)
+void Fetches::cancel(const CancelRequested &canceled)
 {
     Fetch fetch{.call = canceled.call,
                 .ticket = canceled.ticket,
@@ -155,7 +155,7 @@
     if (!fetch.streaming || bytes.size() <= fetch.relayedBytes) {
         return;
     }
-    m_context.effects.emplace_back(CallerPiece{fetch.call, bytes.substr(fetch.relayedBytes)});
+    m_context.effects.emplace_back(SendResultPiece{fetch.call, bytes.substr(fetch.relayedBytes)});
     fetch.relayedBytes = bytes.size();
 }
 
@@ -226,7 +226,7 @@
     if (outcome != Outcome::Completed) {
         m_context.observe(Metric::RefusalsTotal, {std::string{enumName(reason)}});
     }
-    CallerAnswer answer;
+    SendAnswer answer;
     answer.call = fetch.call;
     answer.request = fetch.ticket.request;
     answer.outcome = outcome;
--- a/src/bergamottide/entry/fetches.h
+++ b/src/bergamottide/entry/fetches.h
@@ -25,13 +25,13 @@
      * @brief Starts fetching the result of a request.
      * @param fetched Event with a valid key and ticket.
      */
-    void fetch(const CallerFetched &fetched);
+    void fetch(const FetchRequested &fetched);
 
     /**
      * @brief Requests that the home seals a request, so that its last stage never starts.
      * @param canceled Event with a valid key and ticket.
      */
-    void cancel(const CallerCanceled &canceled);
+    void cancel(const CancelRequested &canceled);
 
     /*! @brief Drops the fetches of a disconnected caller; returns whether there was one. */
     bool removeCall(CallId call);
--- a/src/bergamottide/entry/homeclient.cpp
+++ b/src/bergamottide/entry/homeclient.cpp
@@ -98,7 +98,7 @@
     home.serial = message.serial;
     home.unansweredQueries = 0;
     if (request->callerWaits) {
-        m_context.effects.emplace_back(CallerTicket{request->call, *RequestFinisher::ticketOf(*request)});
+        m_context.effects.emplace_back(SendTicket{request->call, *RequestFinisher::ticketOf(*request)});
     }
     if (message.state == LedgerState::Queued || message.state == LedgerState::Running
         || message.state == LedgerState::Finished) {
--- a/src/bergamottide/entry/intake.cpp
+++ b/src/bergamottide/entry/intake.cpp
@@ -71,7 +71,7 @@
     auto request = std::make_unique<Request>();
     request->call = event.call;
     request->id = event.ticket ? event.ticket->request : event.request;
-    request->keyed = event.keyed;
+    request->keyed = event.hasIdempotencyKey;
     request->streaming = event.streaming;
     request->atMostOnce = checked.atMostOnce;
     request->index = m_context.index;
@@ -93,9 +93,9 @@
     const AdmissionQuery query{*checked.workspace, *checked.pipeline, checked.binding->model, request.kind,
                                request.prefix,     request.costs,     checked.deadline};
     const AdmissionDecision decision =
-        m_context.admission.judge(query, m_context.policy(), m_context.entryCount, m_context.now);
+        m_context.admission.decide(query, m_context.policy(), m_context.entryCount, m_context.now);
     if (decision.reason == Reason::None) {
-        m_context.admission.admitted(query);
+        m_context.admission.requestAdmitted(query);
         return true;
     }
     m_finisher.refuse(event.call, request.id, outcomeOfRefusal(event, checked.atMostOnce), decision.reason, {},
@@ -137,7 +137,7 @@
     return false;
 }
 
-void Intake::handleFetch(const CallerFetched &event)
+void Intake::handleFetch(const FetchRequested &event)
 {
     if (!checkTicketHolder(event.call, event.keyDigest, event.ticket)) {
         return;
@@ -150,7 +150,7 @@
     m_fetches.fetch(event);
 }
 
-void Intake::handleCancel(const CallerCanceled &event)
+void Intake::handleCancel(const CancelRequested &event)
 {
     if (!checkTicketHolder(event.call, event.keyDigest, event.ticket)) {
         return;
--- a/src/bergamottide/entry/intake.h
+++ b/src/bergamottide/entry/intake.h
@@ -24,9 +24,9 @@
     /*! @brief Handles the submission of a request. */
     void handleSubmission(const CallerSubmitted &event);
     /*! @brief Handles a caller that fetches a result by its ticket. */
-    void handleFetch(const CallerFetched &event);
+    void handleFetch(const FetchRequested &event);
     /*! @brief Handles a caller that cancels a request by its ticket. */
-    void handleCancel(const CallerCanceled &event);
+    void handleCancel(const CancelRequested &event);
     /*! @brief Handles the disconnection of a caller. */
     void handleCallerGone(const CallerGone &event);
 
--- a/src/bergamottide/entry/outcomerule.cpp
+++ b/src/bergamottide/entry/outcomerule.cpp
@@ -21,7 +21,7 @@
 
 Outcome outcomeOfRefusal(const CallerSubmitted &submitted, bool atMostOnce)
 {
-    if (!submitted.keyed && !submitted.ticket) {
+    if (!submitted.hasIdempotencyKey && !submitted.ticket) {
         return Outcome::NotRun;
     }
     return atMostOnce ? Outcome::Unknown : Outcome::Incomplete;
--- a/src/bergamottide/entry/recovery.cpp
+++ b/src/bergamottide/entry/recovery.cpp
@@ -72,7 +72,7 @@
     ++run.unansweredQueries;
     const InstanceName sidecar = run.sidecar;
     if (run.unansweredQueries >= silentChecksBeforeMove) {
-        m_context.ejector.failed(run.endpoint);
+        m_context.ejector.recordFailure(run.endpoint);
         if (m_driver.moveElsewhere(*request, run)) {
             return;
         }
--- a/src/bergamottide/entry/requestfinisher.cpp
+++ b/src/bergamottide/entry/requestfinisher.cpp
@@ -38,7 +38,7 @@
                   {{"request", request.text()},
                    {"reason", std::string{enumName(reason)}},
                    {"outcome", std::string{enumName(outcome)}}});
-    CallerAnswer answer;
+    SendAnswer answer;
     answer.call = call;
     answer.request = request;
     answer.outcome = outcome;
@@ -59,7 +59,7 @@
 
 void RequestFinisher::complete(Request &request, const std::string &result)
 {
-    CallerAnswer answer;
+    SendAnswer answer;
     answer.outcome = Outcome::Completed;
     answer.body = result.substr(std::min<std::size_t>(request.relayedBytes, result.size()));
     answer.tokens = request.tokens;
@@ -91,7 +91,7 @@
 
 void RequestFinisher::finish(Request &request, Reason reason, Duration retryAfter)
 {
-    CallerAnswer answer;
+    SendAnswer answer;
     answer.outcome = outcomeWithoutResult(request);
     answer.reason = reason;
     answer.retryAfter = retryAfter;
@@ -104,14 +104,14 @@
     end(request, std::move(answer));
 }
 
-void RequestFinisher::end(Request &request, CallerAnswer answer)
+void RequestFinisher::end(Request &request, SendAnswer answer)
 {
     cancelRuns(request);
     for (std::size_t stage = request.firstPendingStage; stage < request.costs.size(); ++stage) {
-        m_context.admission.stageLeft(request.workspace->name, request.pipeline->stages[stage].pool,
-                                      request.costs[stage]);
+        m_context.admission.removePendingStage(request.workspace->name, request.pipeline->stages[stage].pool,
+                                               request.costs[stage]);
     }
-    m_context.admission.ended(request.workspace->name);
+    m_context.admission.requestEnded(request.workspace->name);
     m_context.observe(Metric::RequestsTotal,
                       {request.workspace->name.text(), kindLabel(request), std::string{enumName(answer.outcome)}});
     if (request.callerWaits) {
@@ -135,9 +135,9 @@
 {
     m_context.table.runEnded(run.endpoint, run.cost);
     if (run.startedAt) {
-        m_context.ejector.abandoned(run.endpoint, run.cost, m_context.now - *run.startedAt);
+        m_context.ejector.recordCancellation(run.endpoint, run.cost, m_context.now - *run.startedAt);
     } else {
-        m_context.ejector.trialUndecided(run.endpoint);
+        m_context.ejector.releaseTrial(run.endpoint);
     }
     if (run.serial != noSerial || run.finished) {
         return;
--- a/src/bergamottide/entry/requestfinisher.h
+++ b/src/bergamottide/entry/requestfinisher.h
@@ -65,7 +65,7 @@
     [[nodiscard]] static std::optional<Ticket> ticketOf(const Request &request);
 
 private:
-    void end(Request &request, CallerAnswer answer);
+    void end(Request &request, SendAnswer answer);
     void cancelRuns(Request &request);
     void observeServiceTime(const Request &request, bool useful);
 
--- a/src/bergamottide/entry/runtracker.cpp
+++ b/src/bergamottide/entry/runtracker.cpp
@@ -82,7 +82,7 @@
         return true;
     }
     m_context.send(from, RunAcknowledged{message.run});
-    request.serviceTimeSpent[request.stage] += message.service;
+    request.serviceTimeSpent[request.stage] += message.serviceTime;
     if (message.state == RunState::NotStarted) {
         handleNotStarted(request, *run, message);
         return true;
@@ -124,9 +124,9 @@
         m_context.table.setDraining(run.sidecar, true);
     }
     if (message.reason == Reason::EndpointFailed) {
-        m_context.ejector.failed(run.endpoint);
+        m_context.ejector.recordFailure(run.endpoint);
     } else {
-        m_context.ejector.trialUndecided(run.endpoint);
+        m_context.ejector.releaseTrial(run.endpoint);
     }
     if (message.reason == Reason::DeadlineExceeded) {
         m_finisher.giveUp(request, message.reason, message.retryAfter);
@@ -138,9 +138,9 @@
 void RunTracker::handleFailed(Request &request, StageRun &run, Reason reason, Duration retryAfter)
 {
     if (blamesEndpoint(reason)) {
-        m_context.ejector.failed(run.endpoint);
+        m_context.ejector.recordFailure(run.endpoint);
     } else {
-        m_context.ejector.trialUndecided(run.endpoint);
+        m_context.ejector.releaseTrial(run.endpoint);
     }
     if (run.serial != noSerial) {
         // The run has started or may have; sealing would have no effect.
--- a/src/bergamottide/entry/stagedriver.cpp
+++ b/src/bergamottide/entry/stagedriver.cpp
@@ -44,23 +44,23 @@
     request.costs.clear();
     request.serviceTimeSpent.assign(request.pipeline->stages.size(), Duration::zero());
     for (const Stage &stage : request.pipeline->stages) {
-        const ServiceKey key{request.pipeline->name, stage.name, request.kind.name, workSize(request, stage)};
+        const ServiceTimeKey key{request.pipeline->name, stage.name, request.kind.name, workSize(request, stage)};
         request.costs.push_back(m_context.estimator.estimate(key, stage.expected));
     }
 }
 
-ServiceKey StageDriver::serviceKey(const Request &request) const
+ServiceTimeKey StageDriver::serviceKey(const Request &request) const
 {
     const Stage &stage = currentStage(request);
     return {request.pipeline->name, stage.name, request.kind.name, workSize(request, stage)};
 }
 
-std::optional<Placed> StageDriver::place(const Request &request, bool allowsTrial)
+std::optional<PlacementResult> StageDriver::place(const Request &request, bool allowsTrial)
 {
     if (request.boundToHome()) {
         const auto number = m_context.table.find(request.home->sidecar);
         const bool reachable = number && m_context.peers.connected(request.home->sidecar);
-        return reachable ? std::optional{Placed{*number, Duration::zero(), false}} : std::nullopt;
+        return reachable ? std::optional{PlacementResult{*number, Duration::zero(), false}} : std::nullopt;
     }
     return m_context.placement.choose(queryFor(request, allowsTrial), m_context.policy(), m_context.now);
 }
@@ -94,8 +94,8 @@
     if (dispatch(request, true)) {
         const StageName &stage = currentStage(request).name;
         if (first) {
-            m_context.retryBudget.earn(request.workspace->name, stage, m_context.policy().retryBudget);
-            m_context.hedgeBudget.earn(request.workspace->name, stage, m_context.policy().hedgeBudget);
+            m_context.retryBudget.deposit(request.workspace->name, stage, m_context.policy().retryBudget);
+            m_context.hedgeBudget.deposit(request.workspace->name, stage, m_context.policy().hedgeBudget);
         }
         return;
     }
@@ -120,7 +120,7 @@
         return;
     }
     const Stage &stage = currentStage(request);
-    m_context.admission.stageLeft(request.workspace->name, stage.pool, request.costs[request.stage]);
+    m_context.admission.removePendingStage(request.workspace->name, stage.pool, request.costs[request.stage]);
     request.firstPendingStage = request.stage + 1;
 }
 
@@ -142,7 +142,7 @@
     return true;
 }
 
-void StageDriver::addRun(Request &request, const Placed &placed)
+void StageDriver::addRun(Request &request, const PlacementResult &placed)
 {
     const RunId id{request.id, request.stage, request.attempt};
     const Duration cost = request.costs[request.stage];
@@ -196,13 +196,13 @@
     message.remaining = request.deadline - m_context.now;
     message.cost = run.cost;
     for (std::size_t index = request.stage + 1; index < request.costs.size(); ++index) {
-        message.following += request.costs[index];
+        message.laterStagesCost += request.costs[index];
     }
     message.maxTokens = stage.maxTokens > 0 ? static_cast<std::uint32_t>(message.size) : 0;
     message.streaming = request.streaming && request.atLastStage();
     message.prefix = request.prefix;
     message.body = request.body;
-    message.previous = request.previousResult;
+    message.previousResult = request.previousResult;
     return message;
 }
 
@@ -224,7 +224,7 @@
     request.stage = static_cast<std::uint32_t>(request.pipeline->stages.size() - 1);
     removePendingStage(request);
     request.attempt = id.attempt;
-    addRun(request, Placed{*number, Duration::zero(), false});
+    addRun(request, PlacementResult{*number, Duration::zero(), false});
     setTimers(request, request.runs.back());
 }
 
@@ -237,7 +237,7 @@
     if (bytes.size() <= request.relayedBytes) {
         return;
     }
-    m_context.effects.emplace_back(CallerPiece{request.call, bytes.substr(request.relayedBytes)});
+    m_context.effects.emplace_back(SendResultPiece{request.call, bytes.substr(request.relayedBytes)});
     request.relayedBytes = bytes.size();
 }
 
@@ -263,11 +263,11 @@
 void StageDriver::advance(Request &request, StageRun &run)
 {
     const RunFinished finished = *run.finished;
-    m_context.estimator.learn(serviceKey(request), finished.service);
+    m_context.estimator.learn(serviceKey(request), finished.serviceTime);
     m_context.hedging.learn(request.pipeline->name, currentStage(request).name, run.cost,
                             m_context.now - run.dispatchedAt);
-    m_context.ejector.completed(run.endpoint, run.cost, finished.service);
-    request.serviceTimeSpent[request.stage] += finished.service;
+    m_context.ejector.recordCompletion(run.endpoint, run.cost, finished.serviceTime);
+    request.serviceTimeSpent[request.stage] += finished.serviceTime;
     request.tokens = finished.tokens;
     const std::string result = run.result.take();
     const RunId id = run.id;
@@ -310,8 +310,8 @@
         m_context.deferred.push_back(request.id);
         return;
     }
-    const bool withinBudget =
-        repeatable && (refusedBySidecarState(reason) || m_context.retryBudget.spend(request.workspace->name, stage));
+    const bool withinBudget = repeatable
+        && (refusedBySidecarState(reason) || m_context.retryBudget.tryWithdraw(request.workspace->name, stage));
     if (withinBudget && dispatchAgain(request, reason)) {
         m_context.observe(Metric::RetriesTotal, {stage.text()});
         return;
@@ -342,7 +342,7 @@
     const RunId id = run.id;
     request.avoided.push_back(run.sidecar);
     if (request.runs.size() == 1) {
-        if (!m_context.retryBudget.spend(request.workspace->name, stage) || !dispatch(request, true)) {
+        if (!m_context.retryBudget.tryWithdraw(request.workspace->name, stage) || !dispatch(request, true)) {
             request.avoided.pop_back();
             return false;
         }
@@ -365,7 +365,7 @@
     }
     const StageName &stage = currentStage(request).name;
     request.avoided.push_back(slow.sidecar);
-    if (hasCapacityForHedge(request) && m_context.hedgeBudget.spend(request.workspace->name, stage)
+    if (hasCapacityForHedge(request) && m_context.hedgeBudget.tryWithdraw(request.workspace->name, stage)
         && dispatch(request, false)) {
         m_context.observe(Metric::HedgesTotal, {stage.text()});
         return;
--- a/src/bergamottide/entry/stagedriver.h
+++ b/src/bergamottide/entry/stagedriver.h
@@ -74,16 +74,16 @@
     void startDeferred();
 
 private:
-    [[nodiscard]] std::optional<Placed> place(const Request &request, bool allowsTrial);
+    [[nodiscard]] std::optional<PlacementResult> place(const Request &request, bool allowsTrial);
     [[nodiscard]] PlacementQuery queryFor(const Request &request, bool allowsTrial) const;
     [[nodiscard]] bool hasCapacityForHedge(const Request &request);
     [[nodiscard]] bool dispatch(Request &request, bool allowsTrial);
     [[nodiscard]] bool mayRepeat(const Request &request, const StageRun &run) const;
     [[nodiscard]] bool dispatchAgain(Request &request, Reason reason);
     [[nodiscard]] StartRun messageFor(const Request &request, const StageRun &run) const;
-    [[nodiscard]] ServiceKey serviceKey(const Request &request) const;
+    [[nodiscard]] ServiceTimeKey serviceKey(const Request &request) const;
     void setTimers(const Request &request, const StageRun &run);
-    void addRun(Request &request, const Placed &placed);
+    void addRun(Request &request, const PlacementResult &placed);
     void removePendingStage(Request &request);
     void removeRun(Request &request, const StageRun &run);
     void cancelOthers(Request &request, const RunId &winner);
--- a/src/bergamottide/ledger/keyownership.cpp
+++ b/src/bergamottide/ledger/keyownership.cpp
@@ -25,7 +25,7 @@
 /*! @brief Returns whether an instance may become the home of requests whose last stage runs in a pool. */
 bool isCandidate(const Instance &instance, const PoolName &pool)
 {
-    return instance.role == Role::Side && instance.pool == pool && !instance.leaving;
+    return instance.role == Role::Sidecar && instance.pool == pool && !instance.leaving;
 }
 
 } // namespace
@@ -67,7 +67,8 @@
     });
 }
 
-KeyVerdict KeyOwnership::judge(const RequestId &request, const InstanceName &self, TimePoint now, Duration window) const
+KeyDecision KeyOwnership::decide(const RequestId &request, const InstanceName &self, TimePoint now,
+                                 Duration window) const
 {
     const auto own = m_members.find(self);
     if (own == m_members.end() || own->second.leftAt) {
--- a/src/bergamottide/ledger/keyownership.h
+++ b/src/bergamottide/ledger/keyownership.h
@@ -22,7 +22,7 @@
 [[nodiscard]] InstanceName homeForKey(const RequestId &request, const InstanceView &view, const PoolName &pool);
 
 /*! @brief Whether a sidecar may accept a request with an idempotency key. */
-struct KeyVerdict
+struct KeyDecision
 {
     /*! @brief `None` if it may; `StaleView` if another instance is the home; `Warming` if one was recently. */
     Reason reason{};
@@ -57,8 +57,8 @@
      * @param now Current time.
      * @param window Time for which a former home still blocks a key.
      */
-    [[nodiscard]] KeyVerdict judge(const RequestId &request, const InstanceName &self, TimePoint now,
-                                   Duration window) const;
+    [[nodiscard]] KeyDecision decide(const RequestId &request, const InstanceName &self, TimePoint now,
+                                     Duration window) const;
 
 private:
     struct Member
--- a/src/bergamottide/ledger/ledger.cpp
+++ b/src/bergamottide/ledger/ledger.cpp
@@ -4,8 +4,8 @@
 
 namespace bergamottide {
 
-LedgerOpening Ledger::open(const RequestId &request, Duration remaining, bool keyed, const LedgerLimits &limits,
-                           TimePoint now)
+LedgerOpenResult Ledger::open(const RequestId &request, Duration remaining, bool keyed, const LedgerLimits &limits,
+                              TimePoint now)
 {
     if (const auto known = m_serialOf.find(request); known != m_serialOf.end()) {
         return {Reason::None, Duration{}, m_records.at(known->second)};
@@ -101,12 +101,12 @@
     });
 }
 
-bool Ledger::knows(const RequestId &request) const
+bool Ledger::contains(const RequestId &request) const
 {
     return m_serialOf.contains(request);
 }
 
-bool Ledger::issued(Serial serial) const noexcept
+bool Ledger::wasIssued(Serial serial) const noexcept
 {
     return serial != noSerial && static_cast<std::uint64_t>(serial) <= m_lastSerial;
 }
@@ -146,7 +146,7 @@
     return m_records.size();
 }
 
-std::size_t Ledger::unfinished() const noexcept
+std::size_t Ledger::unfinishedCount() const noexcept
 {
     return static_cast<std::size_t>(std::count_if(m_records.begin(), m_records.end(), [](const auto &entry) {
         return entry.second.state != LedgerState::Finished && entry.second.state != LedgerState::Sealed;
--- a/src/bergamottide/ledger/ledger.h
+++ b/src/bergamottide/ledger/ledger.h
@@ -38,7 +38,7 @@
 };
 
 /*! @brief Result of opening a record. */
-struct LedgerOpening
+struct LedgerOpenResult
 {
     /*! @brief `None`, or the reason why no record was opened. */
     Reason reason{};
@@ -69,8 +69,8 @@
      * @param now Current time.
      * @return The record, or a refusal (`LedgerFull`, `InvalidDeadline`).
      */
-    [[nodiscard]] LedgerOpening open(const RequestId &request, Duration remaining, bool keyed,
-                                     const LedgerLimits &limits, TimePoint now);
+    [[nodiscard]] LedgerOpenResult open(const RequestId &request, Duration remaining, bool keyed,
+                                        const LedgerLimits &limits, TimePoint now);
 
     /**
      * @brief Claims a serial for its only run, which becomes queued.
@@ -104,10 +104,10 @@
     void markRefused(Serial serial, TimePoint retainUntil);
 
     /*! @brief Returns whether a request has a record. */
-    [[nodiscard]] bool knows(const RequestId &request) const;
+    [[nodiscard]] bool contains(const RequestId &request) const;
 
     /*! @brief Returns whether a serial was issued, even if its record has been removed. */
-    [[nodiscard]] bool issued(Serial serial) const noexcept;
+    [[nodiscard]] bool wasIssued(Serial serial) const noexcept;
 
     /*! @brief Returns the record of a serial, or null. */
     [[nodiscard]] const LedgerRecord *find(Serial serial) const;
@@ -125,7 +125,7 @@
     [[nodiscard]] std::size_t size() const noexcept;
 
     /*! @brief Returns the number of records that are neither finished nor sealed. */
-    [[nodiscard]] std::size_t unfinished() const noexcept;
+    [[nodiscard]] std::size_t unfinishedCount() const noexcept;
 
 private:
     [[nodiscard]] static TimePoint expiryOf(const LedgerRecord &record);
--- a/src/bergamottide/membership/configdistribution.cpp
+++ b/src/bergamottide/membership/configdistribution.cpp
@@ -77,7 +77,7 @@
     status.parent = hasParent() ? m_parents[m_parent] : InstanceName{};
     status.subscribers = m_subscribers.size();
     status.reads = m_reads;
-    status.refusal = m_refusal;
+    status.refusalIssues = m_refusal;
     return status;
 }
 
@@ -121,7 +121,7 @@
     }
 }
 
-void ConfigDistribution::handle(const ServiceDocument &event)
+void ConfigDistribution::handle(const ConfigDocumentRead &event)
 {
     const Verdict verdict = m_store.offerText(event.text);
     if (verdict.acceptance == Acceptance::Accepted || verdict.acceptance == Acceptance::Same) {
@@ -134,13 +134,13 @@
     finishRead();
 }
 
-void ConfigDistribution::handle(const ServiceUnchanged &)
+void ConfigDistribution::handle(const ConfigUnchanged &)
 {
     m_confirmedAt = m_now;
     finishRead();
 }
 
-void ConfigDistribution::handle(const ServiceFailed &)
+void ConfigDistribution::handle(const ConfigReadFailed &)
 {
     finishRead();
 }
@@ -333,7 +333,7 @@
     m_readAt = m_now + drawDelay(readInterval());
     m_readTimeoutAt = m_now + m_policy.readTimeout;
     ++m_reads;
-    m_effects.emplace_back(ReadService{m_store.version()});
+    m_effects.emplace_back(ReadConfig{m_store.version()});
 }
 
 void ConfigDistribution::notifyParent()
--- a/src/bergamottide/membership/configdistribution.h
+++ b/src/bergamottide/membership/configdistribution.h
@@ -16,34 +16,34 @@
 namespace bergamottide {
 
 /*! @brief Event: the configuration service has returned a document. */
-struct ServiceDocument
+struct ConfigDocumentRead
 {
     std::string text;
 };
 
 /*! @brief Event: the configuration service has no newer document than the active one. */
-struct ServiceUnchanged
+struct ConfigUnchanged
 {
 };
 
 /*! @brief Event: a read of the configuration service has failed. */
-struct ServiceFailed
+struct ConfigReadFailed
 {
 };
 
 /*! @brief Any event of the distribution; messages that do not concern the configuration are ignored. */
 using ConfigEvent =
-    std::variant<PeerMessage, PeerDown, ViewChanged, ServiceDocument, ServiceUnchanged, ServiceFailed, Tick>;
+    std::variant<PeerMessage, PeerDown, ViewChanged, ConfigDocumentRead, ConfigUnchanged, ConfigReadFailed, Tick>;
 
 /*! @brief Effect: read the configuration service once. */
-struct ReadService
+struct ReadConfig
 {
     /*! @brief Active version; only a newer document is requested. */
-    std::uint64_t after{};
+    std::uint64_t newerThan{};
 };
 
 /*! @brief Any effect of the distribution. */
-using ConfigEffect = std::variant<SendMessage, ReadService, ConfigChanged, LogLine, AuditRecord, Observe>;
+using ConfigEffect = std::variant<SendMessage, ReadConfig, ConfigChanged, LogLine, AuditRecord, Observe>;
 
 /*! @brief Effects of one event, in execution order. */
 using ConfigEffects = std::vector<ConfigEffect>;
@@ -105,7 +105,7 @@
     /*! @brief Number of reads of the configuration service since the start. */
     std::uint64_t reads{};
     /*! @brief Issues of the last refused document; empty if none was refused since a document was accepted. */
-    std::vector<ConfigIssue> refusal;
+    std::vector<ConfigIssue> refusalIssues;
 };
 
 /**
@@ -162,9 +162,9 @@
     void handle(const PeerMessage &event);
     void handle(const PeerDown &event);
     void handle(const ViewChanged &event);
-    void handle(const ServiceDocument &event);
-    void handle(const ServiceUnchanged &event);
-    void handle(const ServiceFailed &event);
+    void handle(const ConfigDocumentRead &event);
+    void handle(const ConfigUnchanged &event);
+    void handle(const ConfigReadFailed &event);
     void handle(const Tick &event);
 
     void receive(const InstanceName &from, const ConfigSubscribe &request);
--- a/src/bergamottide/membership/instanceview.h
+++ b/src/bergamottide/membership/instanceview.h
@@ -14,7 +14,7 @@
     /*! @brief Accepts requests from callers. */
     Entry,
     /*! @brief Runs beside an endpoint and forwards requests to it. */
-    Side
+    Sidecar
 };
 
 template <>
--- a/src/bergamottide/net/codec.cpp
+++ b/src/bergamottide/net/codec.cpp
@@ -63,7 +63,7 @@
     write(message.request, out->mutable_request());
     out->set_workspace(message.workspace.text());
     out->set_remaining(message.remaining.count());
-    out->set_keyed(message.keyed);
+    out->set_keyed(message.hasIdempotencyKey);
 }
 
 void write(const RequestOpened &message, wire::Frame &frame)
@@ -101,12 +101,12 @@
     out->set_size(message.size);
     out->set_remaining(message.remaining.count());
     out->set_cost(message.cost.count());
-    out->set_following(message.following.count());
+    out->set_following(message.laterStagesCost.count());
     out->set_max_tokens(message.maxTokens);
     out->set_streaming(message.streaming);
     out->set_prefix(message.prefix);
     out->set_body(message.body);
-    out->set_previous(message.previous);
+    out->set_previous(message.previousResult);
 }
 
 void write(const CancelRun &message, wire::Frame &frame)
@@ -134,8 +134,8 @@
     out->set_reason(number(message.reason));
     out->set_length(message.length);
     out->set_digest(message.digest);
-    out->set_service(message.service.count());
-    out->set_waited(message.waited.count());
+    out->set_service(message.serviceTime.count());
+    out->set_waited(message.queueTime.count());
     out->set_tokens(message.tokens);
     out->set_retry_after(message.retryAfter.count());
 }
@@ -285,12 +285,12 @@
     out.size = in.size();
     out.remaining = duration(in.remaining());
     out.cost = duration(in.cost());
-    out.following = duration(in.following());
+    out.laterStagesCost = duration(in.following());
     out.maxTokens = in.max_tokens();
     out.streaming = in.streaming();
     out.prefix = in.prefix();
     out.body = std::move(*in.mutable_body());
-    out.previous = std::move(*in.mutable_previous());
+    out.previousResult = std::move(*in.mutable_previous());
     return out;
 }
 
@@ -313,8 +313,8 @@
     out.reason = enumerator<Reason>(in.reason(), known);
     out.length = in.length();
     out.digest = in.digest();
-    out.service = duration(in.service());
-    out.waited = duration(in.waited());
+    out.serviceTime = duration(in.service());
+    out.queueTime = duration(in.waited());
     out.tokens = in.tokens();
     out.retryAfter = duration(in.retry_after());
     return out;
--- a/src/bergamottide/net/http.h
+++ b/src/bergamottide/net/http.h
@@ -25,7 +25,7 @@
 };
 
 /*! @brief One whole HTTP answer. */
-struct HttpAnswer
+struct HttpResponse
 {
     int status{200};
     HttpHeaders headers;
--- a/src/bergamottide/net/httpclient.cpp
+++ b/src/bergamottide/net/httpclient.cpp
@@ -129,7 +129,7 @@
             call.connectTimer =
                 loop.at(loop.now() + options.connectTimeout, [this, id = call.id] { giveUpConnect(id); });
         }
-        if (connection == Connection::Kept) {
+        if (connection == Connection::Pooled) {
             h2o_http1client_connect_with_pool(&call.client, &call, &context, &to->pool, &State::onConnect);
             return;
         }
@@ -224,8 +224,8 @@
 
     void complete(Call &call)
     {
-        auto answer =
-            std::make_shared<HttpAnswer>(HttpAnswer{call.status, std::move(call.headers), std::move(call.received)});
+        auto answer = std::make_shared<HttpResponse>(
+            HttpResponse{call.status, std::move(call.headers), std::move(call.received)});
         end(call, [answer](const HttpCallHooks &hooks) {
             if (hooks.done) {
                 hooks.done(std::move(*answer));
@@ -272,7 +272,7 @@
         call.connected = true;
         call.state->loop.cancel(call.connectTimer);
         call.connectTimer = {};
-        detectSilence(h2o_socket_get_fd(client->sock), call.state->options.unacknowledged);
+        detectSilence(h2o_socket_get_fd(client->sock), call.state->options.unacknowledgedTimeout);
         call.buffers = {h2o_iovec_init(call.head.data(), call.head.size()),
                         h2o_iovec_init(call.body.data(), call.body.size())};
         *buffers = call.buffers.data();
--- a/src/bergamottide/net/httpclient.h
+++ b/src/bergamottide/net/httpclient.h
@@ -27,7 +27,7 @@
     /*! @brief Longest wait for a new connection; zero for that of `ioTimeout`. */
     Duration connectTimeout{};
     /*! @brief Time after which a connection whose bytes are not acknowledged is broken; zero for the kernel's own. */
-    Duration unacknowledged{};
+    Duration unacknowledgedTimeout{};
     /*! @brief Largest body of an answer read, in bytes. */
     std::size_t maxBodyBytes{8u << 20};
     /*! @brief Largest sum of header bytes read. */
@@ -42,7 +42,7 @@
 enum class Connection : std::uint8_t
 {
     /*! @brief A kept one if there is one; it may turn out to be dead. */
-    Kept,
+    Pooled,
     /*! @brief A new one, for a call that must not be sent in vain. */
     Fresh
 };
@@ -80,7 +80,7 @@
     /*! @brief Optional: a piece of the body has come; without it the body is collected. */
     std::function<void(std::string_view piece)> piece;
     /*! @brief The answer is whole; its body is empty if `piece` is set. */
-    std::function<void(HttpAnswer answer)> done;
+    std::function<void(HttpResponse answer)> done;
     std::function<void(HttpFailure failure)> failed;
 };
 
@@ -107,7 +107,7 @@
      * @return Identity for `cancel`.
      */
     HttpCallId call(const std::string &address, HttpRequest request, HttpCallHooks hooks,
-                    Connection connection = Connection::Kept);
+                    Connection connection = Connection::Pooled);
 
     /**
      * @brief Closes the connection of a call; none of its hooks is called afterwards.
--- a/src/bergamottide/net/httpserver.cpp
+++ b/src/bergamottide/net/httpserver.cpp
@@ -42,7 +42,7 @@
     {
     }
 
-    void answer(HttpAnswer answer) override
+    void respond(HttpResponse answer) override
     {
         if (m_request == nullptr || m_begun) {
             return;
@@ -91,7 +91,7 @@
             ::shutdown(h2o_socket_get_fd(socket), SHUT_RDWR);
         }
         if (!m_begun) {
-            answer({502, {}, {}});
+            respond({502, {}, {}});
             return;
         }
         m_waiting.clear();
@@ -309,7 +309,7 @@
         auto *state = static_cast<State *>(listener->data);
         h2o_socket_t *socket = h2o_evloop_socket_accept(listener);
         if (socket != nullptr) {
-            detectSilence(h2o_socket_get_fd(socket), state->options.unacknowledged);
+            detectSilence(h2o_socket_get_fd(socket), state->options.unacknowledgedTimeout);
             h2o_accept(&state->accept, socket);
         }
     }
@@ -359,7 +359,7 @@
         m_state->listener = nullptr;
     }
     m_state->handler = [](HttpRequest, const std::shared_ptr<HttpResponder> &responder) {
-        responder->answer({503, {}, {}});
+        responder->respond({503, {}, {}});
     };
     static_cast<void>(m_state.release());
 }
--- a/src/bergamottide/net/httpserver.h
+++ b/src/bergamottide/net/httpserver.h
@@ -26,7 +26,7 @@
      * @brief Sends a whole answer.
      * @param answer Status, headers and body.
      */
-    virtual void answer(HttpAnswer answer) = 0;
+    virtual void respond(HttpResponse answer) = 0;
 
     /**
      * @brief Sends the head of an answer whose body follows piece by piece.
@@ -85,7 +85,7 @@
     /*! @brief Period in which connections with an answer under way are looked at for a close by the caller. */
     Duration closePollPeriod{std::chrono::milliseconds{500}};
     /*! @brief Time after which a connection whose bytes are not acknowledged is broken; zero for the kernel's own. */
-    Duration unacknowledged{};
+    Duration unacknowledgedTimeout{};
 };
 
 /*! @brief HTTP/1.1 and HTTP/2 server on h2o. */
--- a/src/bergamottide/orders/assignment.cpp
+++ b/src/bergamottide/orders/assignment.cpp
@@ -41,7 +41,7 @@
                                     const InstanceName &engine)
 {
     const auto candidate = [&pools](const Instance &instance) {
-        return instance.role == Role::Side && !instance.leaving && pools.contains(instance.pool);
+        return instance.role == Role::Sidecar && !instance.leaving && pools.contains(instance.pool);
     };
     const auto own = view.instances.find(engine);
     if (own == view.instances.end() || !candidate(own->second)) {
--- a/src/bergamottide/orders/orderplanner.cpp
+++ b/src/bergamottide/orders/orderplanner.cpp
@@ -50,10 +50,10 @@
     m_assignedSince = std::move(since);
 }
 
-void OrderPlanner::onReport(const EndpointReport &report, TimePoint now)
+void OrderPlanner::onReport(const EndpointLoadReport &report, TimePoint now)
 {
     m_reportedAt = now;
-    m_lastFence = std::max(m_lastFence, report.fence);
+    m_lastFence = std::max(m_lastFence, report.highestFencingToken);
     m_loaded = {report.models.begin(), report.models.end()};
     // A model that is loaded again has neither the version nor the adapters that were set before.
     std::erase_if(m_versions, [this](const auto &entry) { return !m_loaded.contains(entry.first); });
@@ -62,10 +62,10 @@
 
 void OrderPlanner::onAnswer(const OrderAnswered &answer, TimePoint now)
 {
-    if (!m_orderInFlight || m_orderInFlight->order.fence != answer.fence) {
+    if (!m_orderInFlight || m_orderInFlight->order.fencingToken != answer.fencingToken) {
         return;
     }
-    const GiveOrder order = m_orderInFlight->order;
+    const SendOrder order = m_orderInFlight->order;
     reset(now);
     if (!answer.accepted) {
         m_backoffUntil = now + refusalBackoff * (1U << std::min(m_consecutiveRefusals, maxBackoffDoublings));
@@ -81,12 +81,12 @@
     }
 }
 
-void OrderPlanner::forgetReading(TimePoint now)
+void OrderPlanner::discardReport(TimePoint now)
 {
     reset(now);
 }
 
-std::optional<GiveOrder> OrderPlanner::next(TimePoint now)
+std::optional<SendOrder> OrderPlanner::nextOrder(TimePoint now)
 {
     if (m_orderInFlight && m_orderInFlight->sentAt + answerTimeout < now) {
         // The order may still take effect, so a newer report decides what to do next.
@@ -96,11 +96,11 @@
     if (m_orderInFlight || !isCurrent || now < m_backoffUntil || m_version == 0) {
         return std::nullopt;
     }
-    std::optional<GiveOrder> order = chooseOrder(now);
+    std::optional<SendOrder> order = chooseOrder(now);
     if (!order) {
         return std::nullopt;
     }
-    order->fence = nextFence();
+    order->fencingToken = nextFence();
     m_orderInFlight = OrderInFlight{*order, now};
     return order;
 }
@@ -110,10 +110,10 @@
     return m_orderInFlight.has_value();
 }
 
-std::optional<GiveOrder> OrderPlanner::chooseOrder(TimePoint now)
+std::optional<SendOrder> OrderPlanner::chooseOrder(TimePoint now)
 {
     for (const AssignedModel &model : m_assigned) {
-        std::optional<GiveOrder> order = orderFor(model, now);
+        std::optional<SendOrder> order = orderFor(model, now);
         if (order) {
             return order;
         }
@@ -121,29 +121,29 @@
     return unloadOrder(now);
 }
 
-std::optional<GiveOrder> OrderPlanner::orderFor(const AssignedModel &model, TimePoint now)
+std::optional<SendOrder> OrderPlanner::orderFor(const AssignedModel &model, TimePoint now)
 {
     if (!m_loaded.contains(model.name)) {
         if (now < loadStartTime(model)) {
             return std::nullopt;
         }
-        return GiveOrder{0, OrderKind::LoadModel, model.name, {}, model.version};
+        return SendOrder{0, OrderKind::LoadModel, model.name, {}, model.version};
     }
     if (!model.version.empty() && m_versions[model.name] != model.version) {
-        return GiveOrder{0, OrderKind::SetVersion, model.name, {}, model.version};
+        return SendOrder{0, OrderKind::SetVersion, model.name, {}, model.version};
     }
     for (const AdapterName &adapter : model.adapters) {
         if (!m_adapters.contains({model.name, adapter})) {
-            return GiveOrder{0, OrderKind::LoadAdapter, model.name, adapter, model.version};
+            return SendOrder{0, OrderKind::LoadAdapter, model.name, adapter, model.version};
         }
     }
     return std::nullopt;
 }
 
-std::optional<GiveOrder> OrderPlanner::unloadOrder(TimePoint now)
+std::optional<SendOrder> OrderPlanner::unloadOrder(TimePoint now)
 {
     std::map<ModelName, TimePoint> since;
-    std::optional<GiveOrder> order;
+    std::optional<SendOrder> order;
     for (const ModelName &loaded : m_loaded) {
         if (m_assignedSince.contains(loaded)) {
             continue;
@@ -151,7 +151,7 @@
         const auto known = m_unassignedSince.find(loaded);
         since[loaded] = known == m_unassignedSince.end() ? now : known->second;
         if (!order && since[loaded] + unloadDelay < now) {
-            order = GiveOrder{0, OrderKind::UnloadModel, loaded, {}, {}};
+            order = SendOrder{0, OrderKind::UnloadModel, loaded, {}, {}};
         }
     }
     m_unassignedSince = std::move(since);
--- a/src/bergamottide/orders/orderplanner.h
+++ b/src/bergamottide/orders/orderplanner.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bergamottide/orders/assignment.h"
-#include "bergamottide/side/sideevents.h"
+#include "bergamottide/sidecar/sidecarevents.h"
 
 #include <cstdint>
 #include <map>
@@ -50,7 +50,7 @@
      * @brief Handles a report of the engine.
      * @param now Time at which the report was received.
      */
-    void onReport(const EndpointReport &report, TimePoint now);
+    void onReport(const EndpointLoadReport &report, TimePoint now);
 
     /**
      * @brief Handles the answer to an order.
@@ -60,14 +60,14 @@
     void onAnswer(const OrderAnswered &answer, TimePoint now);
 
     /*! @brief Discards the last report and the order in flight, as after a suspension of the process. */
-    void forgetReading(TimePoint now);
+    void discardReport(TimePoint now);
 
     /**
      * @brief Returns the next order, which is then in flight until `onAnswer`.
      * @param now Current time.
      * @return Order to send; absent if none is due.
      */
-    [[nodiscard]] std::optional<GiveOrder> next(TimePoint now);
+    [[nodiscard]] std::optional<SendOrder> nextOrder(TimePoint now);
 
     /*! @brief Returns whether an order is in flight. */
     [[nodiscard]] bool inFlight() const noexcept;
@@ -75,13 +75,13 @@
 private:
     struct OrderInFlight
     {
-        GiveOrder order;
+        SendOrder order;
         TimePoint sentAt;
     };
 
-    [[nodiscard]] std::optional<GiveOrder> chooseOrder(TimePoint now);
-    [[nodiscard]] std::optional<GiveOrder> orderFor(const AssignedModel &model, TimePoint now);
-    [[nodiscard]] std::optional<GiveOrder> unloadOrder(TimePoint now);
+    [[nodiscard]] std::optional<SendOrder> chooseOrder(TimePoint now);
+    [[nodiscard]] std::optional<SendOrder> orderFor(const AssignedModel &model, TimePoint now);
+    [[nodiscard]] std::optional<SendOrder> unloadOrder(TimePoint now);
     [[nodiscard]] TimePoint loadStartTime(const AssignedModel &model) const;
     [[nodiscard]] std::uint64_t nextFence();
     void reset(TimePoint now);
--- a/src/bergamottide/placement/sharebudget.h
+++ b/src/bergamottide/placement/attemptbudget.h
@@ -18,11 +18,11 @@
  * pool. Budgets are separate, so that the failures of one workspace don't use up the
  * budget of another.
  */
-class ShareBudget
+class AttemptBudget
 {
 public:
     /*! @brief Initial tokens; allow extra attempts when there is little traffic. */
-    static constexpr double initial = 10.0;
+    static constexpr double initialTokens = 10.0;
     /*! @brief Maximum number of tokens; enough to retry the runs of one failed endpoint. */
     static constexpr double maxTokens = 100.0;
 
@@ -30,14 +30,14 @@
      * @brief Deposits a fraction of a token for a first attempt.
      * @param share Extra attempts allowed per first attempt, from 0 to 1.
      */
-    void earn(const WorkspaceName &workspace, const StageName &stage, double share)
+    void deposit(const WorkspaceName &workspace, const StageName &stage, double share)
     {
         double &tokens = tokensOf(workspace, stage);
         tokens = std::min(maxTokens, tokens + share);
     }
 
     /*! @brief Withdraws a token for an extra attempt; returns whether there was one. */
-    [[nodiscard]] bool spend(const WorkspaceName &workspace, const StageName &stage)
+    [[nodiscard]] bool tryWithdraw(const WorkspaceName &workspace, const StageName &stage)
     {
         double &tokens = tokensOf(workspace, stage);
         if (tokens < 1.0) {
@@ -50,7 +50,7 @@
 private:
     [[nodiscard]] double &tokensOf(const WorkspaceName &workspace, const StageName &stage)
     {
-        return m_tokens.try_emplace(std::pair{workspace.text(), stage.text()}, initial).first->second;
+        return m_tokens.try_emplace(std::pair{workspace.text(), stage.text()}, initialTokens).first->second;
     }
 
     absl::flat_hash_map<std::pair<std::string, std::string>, double> m_tokens;
--- a/src/bergamottide/placement/endpointtable.cpp
+++ b/src/bergamottide/placement/endpointtable.cpp
@@ -113,7 +113,7 @@
 void EndpointTable::applyView(const InstanceView &view)
 {
     for (const auto &[name, instance] : view.instances) {
-        if (instance.role == Role::Side) {
+        if (instance.role == Role::Sidecar) {
             applyInstance(instance);
         }
     }
--- a/src/bergamottide/placement/ejector.cpp
+++ b/src/bergamottide/placement/outlierejector.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/placement/ejector.h"
+#include "bergamottide/placement/outlierejector.h"
 
 #include <algorithm>
 #include <utility>
@@ -43,12 +43,12 @@
 
 } // namespace
 
-Ejector::Ejector(EndpointTable &table)
+OutlierEjector::OutlierEjector(EndpointTable &table)
     : m_table{table}
 {
 }
 
-void Ejector::completed(EndpointNumber number, Duration cost, Duration service)
+void OutlierEjector::recordCompletion(EndpointNumber number, Duration cost, Duration service)
 {
     if (m_table.endpoint(number).ejection == EjectionState::Trial) {
         finishTrial(number, true);
@@ -59,7 +59,7 @@
     ++observed.samples;
 }
 
-void Ejector::failed(EndpointNumber number)
+void OutlierEjector::recordFailure(EndpointNumber number)
 {
     if (m_table.endpoint(number).ejection == EjectionState::Trial) {
         finishTrial(number, false);
@@ -69,12 +69,12 @@
     ++observed.samples;
 }
 
-void Ejector::abandoned(EndpointNumber number, Duration cost, Duration elapsed)
+void OutlierEjector::recordCancellation(EndpointNumber number, Duration cost, Duration elapsed)
 {
     OwnObservations &observed = m_table.observations(number);
     const double ratio = slownessOf(elapsed, cost);
     if (ratio <= observed.slowness) {
-        trialUndecided(number);
+        releaseTrial(number);
         return;
     }
     if (m_table.endpoint(number).ejection == EjectionState::Trial) {
@@ -84,7 +84,7 @@
     ++observed.samples;
 }
 
-void Ejector::trialUndecided(EndpointNumber number)
+void OutlierEjector::releaseTrial(EndpointNumber number)
 {
     const Endpoint &endpoint = m_table.endpoint(number);
     if (endpoint.ejection == EjectionState::Trial) {
@@ -94,7 +94,7 @@
 
 // A failed trial is marked by an empty `ejectedUntil`; the next review ejects the endpoint again, since the duration
 // depends on the policy.
-void Ejector::finishTrial(EndpointNumber number, bool succeeded)
+void OutlierEjector::finishTrial(EndpointNumber number, bool succeeded)
 {
     const Endpoint &endpoint = m_table.endpoint(number);
     if (!succeeded) {
@@ -107,7 +107,7 @@
     m_changes.push_back({endpoint.name, endpoint.pool, false, "trial run completed"});
 }
 
-Ejector::Performance Ejector::performanceOf(const Endpoint &endpoint, double medianServicePerUnit) const
+OutlierEjector::Performance OutlierEjector::performanceOf(const Endpoint &endpoint, double medianServicePerUnit) const
 {
     if (endpoint.observed.samples >= minOwnSamples) {
         return {endpoint.observed.slowness, endpoint.observed.failureShare};
@@ -118,7 +118,7 @@
     return {slowness, endpoint.reported.failureShare};
 }
 
-std::vector<EjectionChange> Ejector::review(const Policy &policy, TimePoint now)
+std::vector<EjectionChange> OutlierEjector::review(const Policy &policy, TimePoint now)
 {
     for (const auto &[name, pool] : m_table.pools()) {
         reviewPool(pool, policy, now);
@@ -126,7 +126,7 @@
     return std::exchange(m_changes, {});
 }
 
-void Ejector::reviewPool(const PoolEndpoints &pool, const Policy &policy, TimePoint now)
+void OutlierEjector::reviewPool(const PoolEndpoints &pool, const Policy &policy, TimePoint now)
 {
     std::vector<double> servicePerUnits;
     for (const EndpointNumber number : pool.listed) {
@@ -173,7 +173,7 @@
     }
 }
 
-void Ejector::eject(EndpointNumber number, const Policy &policy, TimePoint now, const char *cause)
+void OutlierEjector::eject(EndpointNumber number, const Policy &policy, TimePoint now, const char *cause)
 {
     const Endpoint &endpoint = m_table.endpoint(number);
     const std::uint32_t doublings = std::min(endpoint.ejections, maxDoublings);
--- a/src/bergamottide/placement/ejector.h
+++ b/src/bergamottide/placement/outlierejector.h
@@ -27,31 +27,31 @@
  * `ejectionTime` an ejected endpoint becomes half-open and gets one trial run, as with a
  * circuit breaker; each failed trial doubles the time.
  */
-class Ejector
+class OutlierEjector
 {
 public:
     /*! @brief Creates an ejector for the endpoints of a table, which must outlive it. */
-    explicit Ejector(EndpointTable &table);
+    explicit OutlierEjector(EndpointTable &table);
 
     /**
      * @brief Records a completed run.
      * @param cost Estimated service time.
      * @param service Measured service time.
      */
-    void completed(EndpointNumber number, Duration cost, Duration service);
+    void recordCompletion(EndpointNumber number, Duration cost, Duration service);
 
     /*! @brief Records a run that failed or was not answered. */
-    void failed(EndpointNumber number);
+    void recordFailure(EndpointNumber number);
 
     /**
      * @brief Records a run that was cancelled while the endpoint worked on it.
      * @param cost Estimated service time.
      * @param elapsed Time since the run started; a lower bound of its service time.
      */
-    void abandoned(EndpointNumber number, Duration cost, Duration elapsed);
+    void recordCancellation(EndpointNumber number, Duration cost, Duration elapsed);
 
     /*! @brief Makes an endpoint half-open again after a trial run that ended without a result. */
-    void trialUndecided(EndpointNumber number);
+    void releaseTrial(EndpointNumber number);
 
     /**
      * @brief Compares all endpoints with their peers; to be called once per `reportPeriod`.
--- a/src/bergamottide/placement/placement.cpp
+++ b/src/bergamottide/placement/placement.cpp
@@ -55,7 +55,7 @@
     return Search{query, policy, now, m_table.workspaceNumber(query.workspace), groupsFor(query), {}};
 }
 
-std::optional<Placed> Placement::choose(const PlacementQuery &query, const Policy &policy, TimePoint now)
+std::optional<PlacementResult> Placement::choose(const PlacementQuery &query, const Policy &policy, TimePoint now)
 {
     Search search = startSearch(query, policy, now);
     if (!search.groups.first) {
@@ -72,7 +72,7 @@
     if (search.best.trial) {
         m_table.setEjection(number, EjectionState::Trial, m_table.endpoint(number).ejectedUntil);
     }
-    return Placed{number, search.best.wait, search.best.trial};
+    return PlacementResult{number, search.best.wait, search.best.trial};
 }
 
 std::optional<Duration> Placement::estimateWait(const PlacementQuery &query, const Policy &policy, TimePoint now)
@@ -124,7 +124,7 @@
         if (isBest || contains(search.query.avoided, endpoint.name)) {
             continue;
         }
-        if (endpoint.ejection == EjectionState::HalfOpen && !search.query.mayTry) {
+        if (endpoint.ejection == EjectionState::HalfOpen && !search.query.allowsTrial) {
             continue;
         }
         consider(search, number);
--- a/src/bergamottide/placement/placement.h
+++ b/src/bergamottide/placement/placement.h
@@ -22,13 +22,13 @@
     /*! @brief Estimated service time of the run. */
     Duration cost{};
     /*! @brief The run may be sent to a half-open endpoint as its trial run, because it can be repeated. */
-    bool mayTry{};
+    bool allowsTrial{};
     /*! @brief Endpoints that must not be chosen. */
     absl::Span<const InstanceName> avoided;
 };
 
 /*! @brief Result of a placement. */
-struct Placed
+struct PlacementResult
 {
     EndpointNumber number{};
     /*! @brief Estimated wait in the endpoint's queue, including the penalty for its distance. */
@@ -65,7 +65,8 @@
      * @param now Current time.
      * @return The endpoint, or nothing if none is available.
      */
-    [[nodiscard]] std::optional<Placed> choose(const PlacementQuery &query, const Policy &policy, TimePoint now);
+    [[nodiscard]] std::optional<PlacementResult> choose(const PlacementQuery &query, const Policy &policy,
+                                                        TimePoint now);
 
     /**
      * @brief Estimates how long a new run would wait, from more candidates than a placement.
--- a/src/bergamottide/placement/serviceestimator.cpp
+++ b/src/bergamottide/placement/servicetimeestimator.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/placement/serviceestimator.h"
+#include "bergamottide/placement/servicetimeestimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -57,7 +57,7 @@
     return m_samples;
 }
 
-Duration ServiceEstimator::estimate(const ServiceKey &key, Duration prior) const
+Duration ServiceTimeEstimator::estimate(const ServiceTimeKey &key, Duration prior) const
 {
     double value = static_cast<double>(std::max<std::int64_t>(1, prior.count()));
     const auto refine = [&value](const auto &means, const auto &meanKey) {
@@ -72,7 +72,7 @@
     return Duration{std::max<std::int64_t>(1, std::llround(value))};
 }
 
-void ServiceEstimator::learn(const ServiceKey &key, Duration service)
+void ServiceTimeEstimator::learn(const ServiceTimeKey &key, Duration service)
 {
     if (service <= Duration::zero()) {
         return;
@@ -86,7 +86,7 @@
     m_classes[ClassKey{key.pipeline.text(), key.stage.text(), key.kind.text(), sizeClass(key.size)}].add(value);
 }
 
-std::size_t ServiceEstimator::classCount() const noexcept
+std::size_t ServiceTimeEstimator::classCount() const noexcept
 {
     return m_classes.size();
 }
--- a/src/bergamottide/placement/serviceestimator.h
+++ b/src/bergamottide/placement/servicetimeestimator.h
@@ -11,7 +11,7 @@
 namespace bergamottide {
 
 /*! @brief Attributes of a run that determine its expected service time. */
-struct ServiceKey
+struct ServiceTimeKey
 {
     const PipelineName &pipeline;
     const StageName &stage;
@@ -54,7 +54,7 @@
  * is blended with that of its stage and kind, which is blended with that of its stage, and
  * that with the configured prior.
  */
-class ServiceEstimator
+class ServiceTimeEstimator
 {
 public:
     /**
@@ -63,14 +63,14 @@
      * @param prior Service time from the configuration.
      * @return Estimate, above zero.
      */
-    [[nodiscard]] Duration estimate(const ServiceKey &key, Duration prior) const;
+    [[nodiscard]] Duration estimate(const ServiceTimeKey &key, Duration prior) const;
 
     /**
      * @brief Adds the service time of a completed run.
      * @param key Stage, kind and size.
      * @param service Time that the run took at the endpoint; ignored unless above zero.
      */
-    void learn(const ServiceKey &key, Duration service);
+    void learn(const ServiceTimeKey &key, Duration service);
 
     /*! @brief Returns the number of classes by stage, kind and size. */
     [[nodiscard]] std::size_t classCount() const noexcept;
--- a/src/bergamottide/platform/configclient.cpp
+++ b/src/bergamottide/platform/configclient.cpp
@@ -51,7 +51,7 @@
     request.path = configPath;
     request.query = absl::StrCat("after=", after, "&wait_ms=0");
     HttpCallHooks hooks;
-    hooks.done = [this](HttpAnswer answer) {
+    hooks.done = [this](HttpResponse answer) {
         handleResponse(std::move(answer));
     };
     hooks.failed = [this](HttpFailure failure) {
@@ -66,7 +66,7 @@
     return m_counts;
 }
 
-void ConfigClient::handleResponse(HttpAnswer answer)
+void ConfigClient::handleResponse(HttpResponse answer)
 {
     m_call = {};
     if (answer.status == statusNotModified) {
--- a/src/bergamottide/platform/configclient.h
+++ b/src/bergamottide/platform/configclient.h
@@ -61,7 +61,7 @@
     [[nodiscard]] const ConfigClientCounts &counts() const noexcept;
 
 private:
-    void handleResponse(HttpAnswer answer);
+    void handleResponse(HttpResponse answer);
     void handleFailure(const absl::Status &error);
 
     std::string m_address;
--- a/src/bergamottide/platform/instanceclient.cpp
+++ b/src/bergamottide/platform/instanceclient.cpp
@@ -101,7 +101,7 @@
 InstanceClient::InstanceClient(Loop &loop, const std::string &address, std::uint64_t seed, InstanceClientHooks hooks)
     : m_hooks{std::move(hooks)}
     , m_poll{loop, pollOptions(address, seed),
-             LongPoll::Hooks{[this](const HttpAnswer &answer) { return handleList(answer); }, m_hooks.failed,
+             LongPoll::Hooks{[this](const HttpResponse &answer) { return handleList(answer); }, m_hooks.failed,
                              m_hooks.unchanged}}
 {
 }
@@ -116,7 +116,7 @@
     return m_poll.counts();
 }
 
-absl::StatusOr<std::uint64_t> InstanceClient::handleList(const HttpAnswer &answer)
+absl::StatusOr<std::uint64_t> InstanceClient::handleList(const HttpResponse &answer)
 {
     absl::Status digestStatus = checkDigest(answer);
     if (!digestStatus.ok()) {
--- a/src/bergamottide/platform/instanceclient.h
+++ b/src/bergamottide/platform/instanceclient.h
@@ -55,7 +55,7 @@
     [[nodiscard]] const LongPollCounts &counts() const noexcept;
 
 private:
-    absl::StatusOr<std::uint64_t> handleList(const HttpAnswer &answer);
+    absl::StatusOr<std::uint64_t> handleList(const HttpResponse &answer);
 
     InstanceClientHooks m_hooks;
     std::uint64_t m_revision{};
--- a/src/bergamottide/platform/longpoll.cpp
+++ b/src/bergamottide/platform/longpoll.cpp
@@ -81,7 +81,7 @@
     request.path = m_options.path;
     request.query = absl::StrCat("after=", m_version, "&wait_ms=", wait.count());
     HttpCallHooks hooks;
-    hooks.done = [this](HttpAnswer answer) {
+    hooks.done = [this](HttpResponse answer) {
         handleResponse(std::move(answer));
     };
     hooks.failed = [this](HttpFailure failure) {
@@ -102,7 +102,7 @@
     });
 }
 
-void LongPoll::handleResponse(HttpAnswer answer)
+void LongPoll::handleResponse(HttpResponse answer)
 {
     if (answer.status == statusNotModified) {
         m_backoff.reset();
@@ -130,7 +130,7 @@
     scheduleRead(m_backoff.next());
 }
 
-absl::Status LongPoll::acceptValue(HttpAnswer answer)
+absl::Status LongPoll::acceptValue(HttpResponse answer)
 {
     if (answer.status != statusOk) {
         return makeError(Reason::EndpointFailed, m_options.path,
--- a/src/bergamottide/platform/longpoll.h
+++ b/src/bergamottide/platform/longpoll.h
@@ -63,7 +63,7 @@
     struct Hooks
     {
         /*! @brief Takes a value; returns its version, or the reason why it is rejected. */
-        std::function<absl::StatusOr<std::uint64_t>(HttpAnswer answer)> value;
+        std::function<absl::StatusOr<std::uint64_t>(HttpResponse answer)> value;
         /*! @brief Optional: a read failed, or its value was rejected. */
         std::function<void(const absl::Status &error)> failed;
         /*! @brief Optional: the service confirmed that there is no newer value. */
@@ -99,9 +99,9 @@
 private:
     void read();
     void scheduleRead(Duration delay);
-    void handleResponse(HttpAnswer answer);
+    void handleResponse(HttpResponse answer);
     void handleFailure(const absl::Status &error);
-    [[nodiscard]] absl::Status acceptValue(HttpAnswer answer);
+    [[nodiscard]] absl::Status acceptValue(HttpResponse answer);
 
     Loop &m_loop;
     LongPollOptions m_options;
--- a/src/bergamottide/platform/valuedigest.cpp
+++ b/src/bergamottide/platform/valuedigest.cpp
@@ -12,7 +12,7 @@
     return absl::StrCat(absl::Hex(XXH3_64bits(value.data(), value.size()), absl::kZeroPad16));
 }
 
-absl::Status checkDigest(const HttpAnswer &answer)
+absl::Status checkDigest(const HttpResponse &answer)
 {
     const std::string_view sent = headerValue(answer.headers, digestHeader);
     if (sent.empty() || sent == valueDigest(answer.body)) {
--- a/src/bergamottide/platform/valuedigest.h
+++ b/src/bergamottide/platform/valuedigest.h
@@ -27,6 +27,6 @@
  * @param answer Response with the value.
  * @return Ok if the digest matches or is absent, `Reason::MalformedBody` otherwise.
  */
-[[nodiscard]] absl::Status checkDigest(const HttpAnswer &answer);
+[[nodiscard]] absl::Status checkDigest(const HttpResponse &answer);
 
 } // namespace bergamottide
--- a/src/bergamottide/protocol/messages.h
+++ b/src/bergamottide/protocol/messages.h
@@ -35,7 +35,7 @@
     /*! @brief Time left until the deadline; no run of this request starts after it. */
     Duration remaining{};
     /*! @brief The identity was derived from an idempotency key, so others may open it too. */
-    bool keyed{};
+    bool hasIdempotencyKey{};
 };
 
 /*! @brief State of a request in the ledger of its home. */
@@ -101,7 +101,7 @@
     /*! @brief Estimated service time of this stage. */
     Duration cost{};
     /*! @brief Estimated service time of all following stages. */
-    Duration following{};
+    Duration laterStagesCost{};
     /*! @brief Tokens wanted at most; zero for a stage that generates none. */
     std::uint32_t maxTokens{};
     /*! @brief Results are wanted piece by piece. */
@@ -111,7 +111,7 @@
     /*! @brief Body of the caller's request. */
     std::string body;
     /*! @brief Result of the previous stage; empty for the first one. */
-    std::string previous;
+    std::string previousResult;
 };
 
 /*! @brief Entry to side: stop a run; a run that has not started is confirmed as such. */
@@ -164,9 +164,9 @@
     /*! @brief Digest (XXH3, 64 bits) of the whole result. */
     std::uint64_t digest{};
     /*! @brief Time spent at the endpoint. */
-    Duration service{};
+    Duration serviceTime{};
     /*! @brief Time spent in the side's queue. */
-    Duration waited{};
+    Duration queueTime{};
     /*! @brief Tokens in the whole result. */
     std::uint32_t tokens{};
     Duration retryAfter{};
--- a/src/bergamottide/scheduling/concurrencylimit.cpp
+++ b/src/bergamottide/scheduling/concurrencylimit.cpp
@@ -33,7 +33,7 @@
     return static_cast<std::uint32_t>(m_limit);
 }
 
-void ConcurrencyLimit::completed(double slowdown, std::uint32_t concurrent)
+void ConcurrencyLimit::recordCompletion(double slowdown, std::uint32_t concurrent)
 {
     m_runsSinceDecrease += 1.0;
     const double serialSlowdown = std::max(static_cast<double>(concurrent), maxNormalSlowdown);
@@ -46,7 +46,7 @@
     }
 }
 
-void ConcurrencyLimit::overloaded()
+void ConcurrencyLimit::recordOverload()
 {
     m_runsSinceDecrease += 1.0;
     decrease(1.0);
--- a/src/bergamottide/scheduling/concurrencylimit.h
+++ b/src/bergamottide/scheduling/concurrencylimit.h
@@ -39,10 +39,10 @@
      * @param slowdown Service time divided by the service time without concurrent runs.
      * @param concurrent Runs at the endpoint when the run started, itself included.
      */
-    void completed(double slowdown, std::uint32_t concurrent);
+    void recordCompletion(double slowdown, std::uint32_t concurrent);
 
     /*! @brief Records a run that the endpoint rejected, or failed for overload. */
-    void overloaded();
+    void recordOverload();
 
 private:
     void decrease(double floor);
--- a/src/bergamottide/scheduling/fairqueue.cpp
+++ b/src/bergamottide/scheduling/fairqueue.cpp
@@ -46,7 +46,7 @@
     m_limit = std::max<std::size_t>(limit, 1);
 }
 
-void FairQueue::setParallel(std::size_t concurrency)
+void FairQueue::setConcurrency(std::size_t concurrency)
 {
     m_concurrency = std::max<std::size_t>(concurrency, 1);
 }
@@ -63,7 +63,7 @@
     updateHeaps(index);
 }
 
-QueueOutcome FairQueue::push(QueueItem item)
+PushResult FairQueue::push(QueueItem item)
 {
     item.cost = std::max(item.cost, minCost);
     const std::size_t flow = flowIndexOf(item.workspace);
@@ -103,7 +103,7 @@
     return true;
 }
 
-std::vector<QueueItem> FairQueue::takeDoomed(TimePoint now)
+std::vector<QueueItem> FairQueue::takeInfeasible(TimePoint now)
 {
     std::vector<QueueItem> infeasible;
     while (!m_latestStarts.empty() && m_latestStarts.topKey().first < now) {
@@ -112,7 +112,7 @@
     return infeasible;
 }
 
-std::optional<TimePoint> FairQueue::nextDoomed() const
+std::optional<TimePoint> FairQueue::nextInfeasibleAt() const
 {
     if (m_latestStarts.empty()) {
         return std::nullopt;
--- a/src/bergamottide/scheduling/fairqueue.h
+++ b/src/bergamottide/scheduling/fairqueue.h
@@ -24,7 +24,7 @@
     /*! @brief Estimated service time of the run. */
     Duration cost{};
     /*! @brief Estimated service time of all later stages of the request. */
-    Duration following{};
+    Duration laterStagesCost{};
     /*! @brief Deadline of the request. */
     TimePoint deadline;
     /*! @brief Value of completing the request on time. */
@@ -33,7 +33,7 @@
     /*! @brief Returns the deadline of this stage, which leaves just enough time for the later stages. */
     [[nodiscard]] TimePoint due() const
     {
-        return deadline - following;
+        return deadline - laterStagesCost;
     }
 
     /*! @brief Returns the latest start with which the run still meets its deadline. */
@@ -46,12 +46,12 @@
 };
 
 /*! @brief Result of `FairQueue::push`. */
-struct QueueOutcome
+struct PushResult
 {
     /*! @brief The pushed run is in the queue. */
     bool accepted{};
     /*! @brief Run that was evicted to make room for the pushed one. */
-    std::optional<QueueItem> victim;
+    std::optional<QueueItem> evicted;
 };
 
 /**
@@ -88,7 +88,7 @@
     /*! @brief Sets the maximum number of queued runs; doesn't evict runs that already exceed it. */
     void setLimit(std::size_t limit);
     /*! @brief Sets the number of runs that the endpoint works on concurrently. */
-    void setParallel(std::size_t concurrency);
+    void setConcurrency(std::size_t concurrency);
     /**
      * @brief Sets the weight of a workspace.
      * @param weight Weight relative to other workspaces; rounded to a multiple of 0.001, at least 0.001.
@@ -99,7 +99,7 @@
      * @brief Adds a run, and evicts one if the queue is full.
      * @param item Run that is not in the queue yet.
      */
-    [[nodiscard]] QueueOutcome push(QueueItem item);
+    [[nodiscard]] PushResult push(QueueItem item);
     /**
      * @brief Removes and returns the run to be served next, or nothing if the queue is empty.
      * @param now Current time.
@@ -114,10 +114,10 @@
      * @brief Removes and returns the runs that can no longer meet their deadline, ordered by latest start.
      * @param now Current time.
      */
-    [[nodiscard]] std::vector<QueueItem> takeDoomed(TimePoint now);
+    [[nodiscard]] std::vector<QueueItem> takeInfeasible(TimePoint now);
 
     /*! @brief Returns the smallest latest start of all queued runs. */
-    [[nodiscard]] std::optional<TimePoint> nextDoomed() const;
+    [[nodiscard]] std::optional<TimePoint> nextInfeasibleAt() const;
     /*! @brief Returns the number of queued runs. */
     [[nodiscard]] std::size_t size() const noexcept;
     /*! @brief Returns the estimated cost of all queued runs. */
--- a/src/bergamottide/serving/callplanner.cpp
+++ b/src/bergamottide/serving/callplanner.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-CallPlanner::CallPlanner(EndpointBoard &endpoints, const PendingTasks &tasks, const WarmupLimiter &warmup,
+CallPlanner::CallPlanner(EndpointRegistry &endpoints, const PendingTasks &tasks, const WarmupLimiter &warmup,
                          const FetchPaths &paths)
     : m_endpoints{endpoints}
     , m_tasks{tasks}
@@ -44,9 +44,9 @@
     if (bestEndpoint == nullptr) {
         return std::nullopt;
     }
-    const std::size_t wanted = std::min<std::size_t>(countWaitingPieces(queue, m_tasks), pool.batch->batch);
+    const std::size_t wanted = std::min<std::size_t>(countWaitingPieces(queue, m_tasks), pool.batch->maxItems);
     // Used results free memory soon; a small call would occupy the endpoint meanwhile.
-    if (bestEndpoint->takenBytes() != 0
+    if (bestEndpoint->usedResultBytes() != 0
         && static_cast<double>(best.items.size()) < minFillRatio * static_cast<double>(wanted)) {
         return std::nullopt;
     }
@@ -88,40 +88,42 @@
                                     const std::set<ZoneName> &poolZones, TimePoint now) const
 {
     CallCandidate candidate;
-    candidate.usedBytes = endpoint.takenBytes();
+    candidate.usedBytes = endpoint.usedResultBytes();
     const QueueKey &first = *queue.begin();
     for (const QueueKey &key : queue) {
         const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(key));
         const bool isSameUrgency =
             std::get<bool>(key) == std::get<bool>(first) && std::get<int>(key) == std::get<int>(first);
-        const bool isPreferredZone = pending.task.zone.empty() || pending.task.zone == endpoint.record.zone;
+        const bool isPreferredZone =
+            pending.task.preferredZone.empty() || pending.task.preferredZone == endpoint.record.zone;
         if (isPreferredZone && isSameUrgency && !m_paths.isBroken(pending.inputZones, endpoint.record.zone, now)) {
             addTask(pool, pending, candidate);
         }
     }
     for (const QueueKey &key : queue) {
         const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(key));
-        const bool isZoneAllowed = pending.task.zone == endpoint.record.zone || !poolZones.contains(pending.task.zone);
+        const bool isZoneAllowed =
+            pending.task.preferredZone == endpoint.record.zone || !poolZones.contains(pending.task.preferredZone);
         if ((isZoneAllowed || pending.zoneWaitUntil <= now)
             && !m_paths.isBroken(pending.inputZones, endpoint.record.zone, now)) {
             addTask(pool, pending, candidate);
         }
     }
     for (const CallItem &item : candidate.items) {
-        candidate.localItems += m_tasks.at(item.task).task.zone == endpoint.record.zone ? 1 : 0;
+        candidate.localItems += m_tasks.at(item.task).task.preferredZone == endpoint.record.zone ? 1 : 0;
     }
     return candidate;
 }
 
 void CallPlanner::addTask(const Pool &pool, const PendingTask &pending, CallCandidate &candidate) const
 {
-    if (candidate.items.size() >= pool.batch->batch || candidate.tasks.contains(pending.task.id)) {
+    if (candidate.items.size() >= pool.batch->maxItems || candidate.tasks.contains(pending.task.id)) {
         return;
     }
     const double share = pending.isLate ? lateMemoryShare : 1.0;
-    const auto memoryLimit = static_cast<std::uint64_t>(share * static_cast<double>(pool.batch->resultRoom));
+    const auto memoryLimit = static_cast<std::uint64_t>(share * static_cast<double>(pool.batch->resultMemory));
     const std::size_t remainingPieces = pending.waitingPieces.size();
-    const bool fitsWhole = candidate.items.size() + remainingPieces <= pool.batch->batch
+    const bool fitsWhole = candidate.items.size() + remainingPieces <= pool.batch->maxItems
         && candidate.usedBytes + remainingPieces * pending.task.resultBytes <= memoryLimit;
     // A request proceeds only when all pieces are done; splitting it over calls keeps its first results in memory for
     // longer. The first task of a call may be split, or one larger than a batch would never be sent.
@@ -132,7 +134,7 @@
     for (const std::uint32_t piece : pending.waitingPieces) {
         // A result larger than the limit is accepted when the memory is empty, or it would wait forever.
         const bool fits = candidate.usedBytes == 0 || candidate.usedBytes + pending.task.resultBytes <= memoryLimit;
-        if (candidate.items.size() >= pool.batch->batch || !fits) {
+        if (candidate.items.size() >= pool.batch->maxItems || !fits) {
             return;
         }
         candidate.usedBytes += pending.task.resultBytes;
--- a/src/bergamottide/serving/callplanner.h
+++ b/src/bergamottide/serving/callplanner.h
@@ -3,7 +3,7 @@
 #include "bergamottide/core/ids.h"
 #include "bergamottide/core/time.h"
 #include "bergamottide/serving/catalog.h"
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 #include "bergamottide/serving/fetchpaths.h"
 #include "bergamottide/serving/pendingtask.h"
 #include "bergamottide/serving/warmuplimiter.h"
@@ -49,7 +49,7 @@
      * @param warmup Limits calls to cold endpoints; must outlive the planner.
      * @param paths Zones between which results cannot be fetched; must outlive the planner.
      */
-    CallPlanner(EndpointBoard &endpoints, const PendingTasks &tasks, const WarmupLimiter &warmup,
+    CallPlanner(EndpointRegistry &endpoints, const PendingTasks &tasks, const WarmupLimiter &warmup,
                 const FetchPaths &paths);
 
     /**
@@ -69,7 +69,7 @@
     [[nodiscard]] static bool isBetter(const CallCandidate &candidate, const Endpoint &endpoint,
                                        const CallCandidate &other, const Endpoint &otherEndpoint, TimePoint now);
 
-    EndpointBoard &m_endpoints;
+    EndpointRegistry &m_endpoints;
     const PendingTasks &m_tasks;
     const WarmupLimiter &m_warmup;
     const FetchPaths &m_paths;
--- a/src/bergamottide/serving/catalog.cpp
+++ b/src/bergamottide/serving/catalog.cpp
@@ -16,7 +16,7 @@
         return;
     }
     stages[stage].level = std::max(stages[stage].level, level);
-    for (const std::uint32_t before : stages[stage].after) {
+    for (const std::uint32_t before : stages[stage].dependencies) {
         if (before >= stages.size()) {
             continue;
         }
@@ -32,7 +32,7 @@
 
 } // namespace
 
-std::uint32_t Route::topLevel() const noexcept
+std::uint32_t Route::maxLevel() const noexcept
 {
     std::uint32_t top = 0;
     for (const StageSpec &stage : stages) {
@@ -41,7 +41,7 @@
     return top;
 }
 
-void Catalog::index()
+void Catalog::buildIndex()
 {
     routesByHost.clear();
     for (std::size_t position = 0; position < routes.size(); ++position) {
@@ -53,7 +53,7 @@
     }
 }
 
-const Route *Catalog::find(std::string_view host, std::string_view path) const
+const Route *Catalog::findRoute(std::string_view host, std::string_view path) const
 {
     const auto found = routesByHost.find(normalizedHost(host));
     if (found == routesByHost.end()) {
@@ -72,7 +72,7 @@
     return best;
 }
 
-const Pool *Catalog::pool(const PoolName &name) const
+const Pool *Catalog::findPool(const PoolName &name) const
 {
     const auto found = pools.find(name.text());
     return found == pools.end() ? nullptr : &found->second;
--- a/src/bergamottide/serving/catalog.h
+++ b/src/bergamottide/serving/catalog.h
@@ -34,7 +34,7 @@
 {
     PoolName pool;
     /*! @brief Positions of the stages whose results are its inputs. */
-    std::vector<std::uint32_t> after;
+    std::vector<std::uint32_t> dependencies;
     /*! @brief Approximate size of one result, in bytes. */
     std::uint64_t resultBytes{};
     /*! @brief Number of stages on the longest path from this stage to the end, itself included; one for a leaf. */
@@ -80,7 +80,7 @@
     }
 
     /*! @brief Returns the highest level of the stages; zero without stages. */
-    [[nodiscard]] std::uint32_t topLevel() const noexcept;
+    [[nodiscard]] std::uint32_t maxLevel() const noexcept;
 };
 
 /*! @brief Batching and cost model of a stage pool's endpoints. */
@@ -89,17 +89,17 @@
     /*! @brief Calls that an endpoint processes at a time. */
     std::uint32_t slots{1};
     /*! @brief Maximum number of items in one call. */
-    std::uint32_t batch{1};
+    std::uint32_t maxItems{1};
     /*! @brief Approximate fixed time of a call. */
     Duration callTime{};
     /*! @brief Approximate additional time of each item. */
     Duration itemTime{};
     /*! @brief Memory of an endpoint for results, in bytes. */
-    std::uint64_t resultRoom{};
+    std::uint64_t resultMemory{};
     /*! @brief Time for which an endpoint stores a result. */
     Duration resultTtl{};
     /*! @brief Rate at which an endpoint fetches inputs, in bytes per second; zero if unknown. */
-    double fetchRate{};
+    double fetchBytesPerSecond{};
 };
 
 /*! @brief Properties of a model pool's engines. */
@@ -109,17 +109,17 @@
     /*! @brief Capacity of the prompt cache, in tokens. */
     std::uint64_t cacheTokens{};
     /*! @brief Rate at which engines fetch cached prompts from each other, in tokens per second; zero if they cannot. */
-    double fetchRate{};
+    double fetchTokensPerSecond{};
 };
 
 /*! @brief Load limit of a pool's endpoints after their start. */
 struct WarmupSpec
 {
     /*! @brief Time from its start for which an endpoint is cold. */
-    Duration time{};
+    Duration duration{};
     /*! @brief Requests per second that a cold endpoint can take from all processes together; it crashes well above
      * that. */
-    double perSecond{};
+    double requestsPerSecond{};
 };
 
 /*! @brief Pool of endpoints that do the same work. */
@@ -161,13 +161,13 @@
     /*! @brief Positions of the routes of each host, in lower case. */
     absl::flat_hash_map<std::string, std::vector<std::size_t>> routesByHost;
     absl::flat_hash_map<std::string, Pool> pools;
-    absl::flat_hash_map<std::string, Workspace> workspaceOfKey;
+    absl::flat_hash_map<std::string, Workspace> workspaceByApiKey;
     /*! @brief Requests need an API key, except on public routes. */
-    bool needsKeys{};
+    bool requiresApiKey{};
     CallerLimits limits;
 
     /*! @brief Computes what is derived from `routes`: the host index, and the levels and leaves of stages. */
-    void index();
+    void buildIndex();
 
     /**
      * @brief Finds the route for a request.
@@ -175,10 +175,10 @@
      * @param path Path without query.
      * @return Route with the longest matching path prefix, or null.
      */
-    [[nodiscard]] const Route *find(std::string_view host, std::string_view path) const;
+    [[nodiscard]] const Route *findRoute(std::string_view host, std::string_view path) const;
 
     /*! @brief Returns the pool with this name, or null. */
-    [[nodiscard]] const Pool *pool(const PoolName &name) const;
+    [[nodiscard]] const Pool *findPool(const PoolName &name) const;
 };
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/drainrate.h
+++ b/src/bergamottide/serving/drainrate.h
@@ -2,7 +2,7 @@
 
 #include "bergamottide/core/time.h"
 #include "bergamottide/serving/catalog.h"
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 
 #include <cstddef>
 #include <vector>
--- a/src/bergamottide/serving/endpointdirectory.cpp
+++ b/src/bergamottide/serving/endpointdirectory.cpp
@@ -48,7 +48,7 @@
     EndpointRecord &known = found->second;
     const bool isNewIncarnation = isNew || known.incarnation != record.incarnation;
     const bool draining = record.draining || (!isNewIncarnation && known.draining);
-    const TimePoint coldUntil = record.coldLeft > Duration::zero() ? now + record.coldLeft : TimePoint{};
+    const TimePoint coldUntil = record.remainingWarmup > Duration::zero() ? now + record.remainingWarmup : TimePoint{};
     const bool isColder = coldUntil > known.coldUntil + coldUntilTolerance;
     if (isNewIncarnation || known.draining != draining || known.address != record.address || known.pool != record.pool
         || known.slots != record.slots || isColder) {
@@ -70,27 +70,27 @@
         m_missing.try_emplace(instance, now + missingTimeout);
         return;
     }
-    discard(instance);
+    removeAtOnce(instance);
 }
 
-void EndpointDirectory::discard(const InstanceName &instance)
+void EndpointDirectory::removeAtOnce(const InstanceName &instance)
 {
     m_missing.erase(instance);
     m_changed = m_endpoints.erase(instance) != 0 || m_changed;
 }
 
-void EndpointDirectory::setEvacuated(std::set<ZoneName> zones)
+void EndpointDirectory::setEvacuatedZones(std::set<ZoneName> zones)
 {
     m_changed = m_changed || zones != m_evacuated;
     m_evacuated = std::move(zones);
 }
 
-const std::set<ZoneName> &EndpointDirectory::evacuated() const noexcept
+const std::set<ZoneName> &EndpointDirectory::evacuatedZones() const noexcept
 {
     return m_evacuated;
 }
 
-void EndpointDirectory::lost(TimePoint now)
+void EndpointDirectory::beginListOutage(TimePoint now)
 {
     if (!m_isListUnavailable) {
         m_isListUnavailable = true;
@@ -98,7 +98,7 @@
     }
 }
 
-void EndpointDirectory::regained(TimePoint now)
+void EndpointDirectory::endListOutage(TimePoint now)
 {
     if (m_isListUnavailable && now - m_unavailableSince >= minOutageWithGrace) {
         m_graceUntil = now + graceAfterReturn;
@@ -118,7 +118,7 @@
     return first;
 }
 
-std::shared_ptr<const EndpointList> EndpointDirectory::takeChange(TimePoint now)
+std::shared_ptr<const EndpointList> EndpointDirectory::takeChangedList(TimePoint now)
 {
     for (auto next = m_missing.begin(); next != m_missing.end();) {
         if (next->second > now) {
--- a/src/bergamottide/serving/endpointdirectory.h
+++ b/src/bergamottide/serving/endpointdirectory.h
@@ -31,23 +31,23 @@
     void remove(const InstanceName &instance, TimePoint now);
 
     /*! @brief Removes an endpoint at once: its entry exists, but is not a valid endpoint any more. */
-    void discard(const InstanceName &instance);
+    void removeAtOnce(const InstanceName &instance);
 
     /**
      * @brief Sets the evacuated zones, whose endpoints get no new work.
      *
      * Also applies while the list is unavailable, and to endpoints that are added later.
      */
-    void setEvacuated(std::set<ZoneName> zones);
+    void setEvacuatedZones(std::set<ZoneName> zones);
 
     /*! @brief Returns the evacuated zones. */
-    [[nodiscard]] const std::set<ZoneName> &evacuated() const noexcept;
+    [[nodiscard]] const std::set<ZoneName> &evacuatedZones() const noexcept;
 
     /*! @brief Starts an outage: the list cannot be read. */
-    void lost(TimePoint now);
+    void beginListOutage(TimePoint now);
 
     /*! @brief Ends an outage: the list can be read again. */
-    void regained(TimePoint now);
+    void endListOutage(TimePoint now);
 
     /*! @brief Returns when the first missing endpoint is removed, if there is one. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
@@ -57,7 +57,7 @@
      * @param now Current time.
      * @return The list, or null if nothing has changed since the last call.
      */
-    [[nodiscard]] std::shared_ptr<const EndpointList> takeChange(TimePoint now);
+    [[nodiscard]] std::shared_ptr<const EndpointList> takeChangedList(TimePoint now);
 
 private:
     [[nodiscard]] bool isInGracePeriod(TimePoint now) const;
