--- a/src/bergamottide/serving/endpointboard.cpp
+++ b/src/bergamottide/serving/endpointregistry.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 
 #include <absl/strings/str_cat.h>
 
@@ -38,7 +38,7 @@
 
 } // namespace
 
-void EndpointBoard::update(const EndpointList &list, TimePoint now, Effects &effects)
+void EndpointRegistry::update(const EndpointList &list, TimePoint now, Effects &effects)
 {
     std::set<InstanceName> listed;
     for (const EndpointRecord &record : list) {
@@ -67,7 +67,7 @@
 }
 
 /*! @brief Applies the listed state to a known endpoint. */
-void EndpointBoard::applyRecord(Endpoint &endpoint, const EndpointRecord &record, TimePoint now, Effects &effects)
+void EndpointRegistry::applyRecord(Endpoint &endpoint, const EndpointRecord &record, TimePoint now, Effects &effects)
 {
     const EndpointRecord before = std::exchange(endpoint.record, record);
     endpoint.isUnlisted = false;
@@ -82,16 +82,16 @@
         endpoint.possibleRestartAt = now;
         log(effects, "Endpoint accepts new work again.", endpoint, "zone restored");
     }
-    if (record.coldUntil > endpoint.coldUntil) {
-        if (endpoint.coldUntil <= now) {
+    if (record.coldUntil > endpoint.warmupEndsAt) {
+        if (endpoint.warmupEndsAt <= now) {
             log(effects, "Endpoint is cold.", endpoint,
                 absl::StrCat("warm in ", (record.coldUntil - now).count() / 1000, " ms"));
         }
-        endpoint.coldUntil = record.coldUntil;
+        endpoint.warmupEndsAt = record.coldUntil;
     }
 }
 
-void EndpointBoard::indexPools()
+void EndpointRegistry::indexPools()
 {
     m_pools.clear();
     for (auto &[instance, endpoint] : m_endpoints) {
@@ -99,7 +99,7 @@
     }
 }
 
-const std::vector<Endpoint *> &EndpointBoard::endpointsOf(const PoolName &pool) const
+const std::vector<Endpoint *> &EndpointRegistry::endpointsOf(const PoolName &pool) const
 {
     static const std::vector<Endpoint *> none;
     const auto found = m_pools.find(pool);
@@ -107,7 +107,7 @@
 }
 
 /*! @brief Resets the state of a restarted endpoint; work in progress there still ends through the usual events. */
-void EndpointBoard::resetState(Endpoint &endpoint, TimePoint now, Effects &effects)
+void EndpointRegistry::resetState(Endpoint &endpoint, TimePoint now, Effects &effects)
 {
     const std::uint32_t inFlight = endpoint.inFlight;
     endpoint = Endpoint{.record = endpoint.record, .inFlight = inFlight};
@@ -116,20 +116,20 @@
     log(effects, "Endpoint restarted.", endpoint, "new incarnation");
 }
 
-Endpoint *EndpointBoard::find(const InstanceName &instance)
+Endpoint *EndpointRegistry::find(const InstanceName &instance)
 {
     const auto found = m_endpoints.find(instance);
     return found == m_endpoints.end() ? nullptr : &found->second;
 }
 
-std::vector<Endpoint *> EndpointBoard::usable(const PoolName &pool, TimePoint now) const
+std::vector<Endpoint *> EndpointRegistry::usable(const PoolName &pool, TimePoint now) const
 {
     const std::vector<Endpoint *> &candidates = endpointsOf(pool);
     std::vector<Endpoint *> healthy;
     std::vector<Endpoint *> all;
     healthy.reserve(candidates.size());
     for (Endpoint *endpoint : candidates) {
-        if (!endpoint->takesWork()) {
+        if (!endpoint->acceptsWork()) {
             continue;
         }
         all.push_back(endpoint);
@@ -140,34 +140,34 @@
     return healthy.empty() ? all : healthy;
 }
 
-bool EndpointBoard::serves(const PoolName &pool) const
+bool EndpointRegistry::canServe(const PoolName &pool) const
 {
-    return std::ranges::any_of(endpointsOf(pool), &Endpoint::takesWork);
+    return std::ranges::any_of(endpointsOf(pool), &Endpoint::acceptsWork);
 }
 
-void EndpointBoard::started(const InstanceName &instance)
+void EndpointRegistry::recordStart(const InstanceName &instance)
 {
     if (Endpoint *endpoint = find(instance); endpoint != nullptr) {
         ++endpoint->inFlight;
     }
 }
 
-void EndpointBoard::ended(const InstanceName &instance, std::optional<EndpointSign> outcome, TimePoint now,
-                          Effects &effects)
+void EndpointRegistry::recordEnd(const InstanceName &instance, std::optional<EndpointOutcome> outcome, TimePoint now,
+                                 Effects &effects)
 {
     Endpoint *endpoint = find(instance);
     if (endpoint == nullptr) {
         return;
     }
     endpoint->inFlight -= endpoint->inFlight > 0 ? 1 : 0;
-    if (outcome && *outcome != EndpointSign::Rejected) {
-        const double failed = *outcome == EndpointSign::Good ? 0.0 : 1.0;
+    if (outcome && *outcome != EndpointOutcome::Rejected) {
+        const double failed = *outcome == EndpointOutcome::Succeeded ? 0.0 : 1.0;
         endpoint->failureRate += failureRateWeight * (failed - endpoint->failureRate);
         endpoint->sampleCount = std::min(endpoint->sampleCount + 1, minSamples);
-        if (*outcome == EndpointSign::Good) {
+        if (*outcome == EndpointOutcome::Succeeded) {
             endpoint->consecutiveEjections = 0;
         }
-        if (*outcome == EndpointSign::Unreached) {
+        if (*outcome == EndpointOutcome::ConnectFailed) {
             // A restart shows in the list only seconds after the endpoint accepts work again.
             endpoint->possibleRestartAt = now + firstEjection;
             endpoint->failureRate = std::max(endpoint->failureRate, minEjectionFailureRate + minExcessFailureRate);
@@ -178,21 +178,21 @@
     removeIfIdle(instance);
 }
 
-void EndpointBoard::answered(const InstanceName &instance, TimePoint now)
+void EndpointRegistry::recordAnswer(const InstanceName &instance, TimePoint now)
 {
     if (Endpoint *endpoint = find(instance); endpoint != nullptr) {
         endpoint->lastResponseAt = now;
     }
 }
 
-void EndpointBoard::toldCold(const InstanceName &instance, Duration remaining, TimePoint now)
+void EndpointRegistry::recordWarmup(const InstanceName &instance, Duration remaining, TimePoint now)
 {
     if (Endpoint *endpoint = find(instance); endpoint != nullptr) {
-        endpoint->coldUntil = std::max(endpoint->coldUntil, now + remaining);
+        endpoint->warmupEndsAt = std::max(endpoint->warmupEndsAt, now + remaining);
     }
 }
 
-void EndpointBoard::suspect(const InstanceName &instance, TimePoint since, TimePoint now, Effects &effects)
+void EndpointRegistry::recordTimeout(const InstanceName &instance, TimePoint since, TimePoint now, Effects &effects)
 {
     Endpoint *endpoint = find(instance);
     if (endpoint == nullptr) {
@@ -207,7 +207,7 @@
     ejectIfFailing(*endpoint, now, effects);
 }
 
-void EndpointBoard::told(const InstanceName &instance, const EndpointLoad &load, TimePoint now)
+void EndpointRegistry::recordLoad(const InstanceName &instance, const EndpointLoad &load, TimePoint now)
 {
     if (Endpoint *endpoint = find(instance); endpoint != nullptr) {
         endpoint->load = load;
@@ -215,7 +215,7 @@
     }
 }
 
-std::vector<EndpointRecord> EndpointBoard::records() const
+std::vector<EndpointRecord> EndpointRegistry::records() const
 {
     std::vector<EndpointRecord> out;
     for (const auto &[instance, endpoint] : m_endpoints) {
@@ -226,12 +226,12 @@
     return out;
 }
 
-std::size_t EndpointBoard::size() const noexcept
+std::size_t EndpointRegistry::size() const noexcept
 {
     return m_endpoints.size();
 }
 
-void EndpointBoard::ejectIfFailing(Endpoint &endpoint, TimePoint now, Effects &effects)
+void EndpointRegistry::ejectIfFailing(Endpoint &endpoint, TimePoint now, Effects &effects)
 {
     if (endpoint.sampleCount < minSamples || endpoint.ejectedUntil > now
         || endpoint.failureRate < minEjectionFailureRate) {
@@ -251,7 +251,7 @@
     ++endpoint.consecutiveEjections;
 }
 
-void EndpointBoard::removeIfIdle(const InstanceName &instance)
+void EndpointRegistry::removeIfIdle(const InstanceName &instance)
 {
     const auto found = m_endpoints.find(instance);
     if (found != m_endpoints.end() && found->second.isUnlisted && found->second.inFlight == 0) {
@@ -260,12 +260,12 @@
     }
 }
 
-double EndpointBoard::meanFailureRateOfOthers(const Endpoint &endpoint) const
+double EndpointRegistry::meanFailureRateOfOthers(const Endpoint &endpoint) const
 {
     double sum = 0.0;
     std::uint32_t count = 0;
     for (const Endpoint *other : endpointsOf(endpoint.record.pool)) {
-        if (other == &endpoint || !other->takesWork()) {
+        if (other == &endpoint || !other->acceptsWork()) {
             continue;
         }
         sum += other->failureRate;
--- a/src/bergamottide/serving/endpointboard.h
+++ b/src/bergamottide/serving/endpointregistry.h
@@ -13,16 +13,16 @@
 namespace bergamottide::serving {
 
 /*! @brief Outcome of a run or call, as far as it tells of the health of its endpoint. */
-enum class EndpointSign : std::uint8_t
+enum class EndpointOutcome : std::uint8_t
 {
     /*! @brief The endpoint answered correctly. */
-    Good,
+    Succeeded,
     /*! @brief The endpoint refused the work since it is full or draining. */
     Rejected,
     /*! @brief The endpoint answered with an error of its own, or the connection broke. */
     Failed,
     /*! @brief No connection could be established. */
-    Unreached
+    ConnectFailed
 };
 
 /*! @brief An endpoint with its load and health as seen by this process. */
@@ -54,7 +54,7 @@
     /*! @brief Stage calls are not sent before this time. */
     TimePoint pausedUntil{};
     /*! @brief When it is warm, as reported by the platform or the endpoint. */
-    TimePoint coldUntil{};
+    TimePoint warmupEndsAt{};
     /*! @brief Latest time of a possible restart: its zone was restored, or it could not be reached; the epoch if there
      * is none. */
     TimePoint possibleRestartAt{};
@@ -66,15 +66,15 @@
     std::uint64_t otherSchedulersBytes{};
 
     /*! @brief Returns the result memory in use or reserved, in bytes. */
-    [[nodiscard]] std::uint64_t takenBytes() const noexcept
+    [[nodiscard]] std::uint64_t usedResultBytes() const noexcept
     {
         return resultBytes + otherSchedulersBytes;
     }
 
     /*! @brief Tells whether new work may be sent to it; ejections are not considered. */
-    [[nodiscard]] bool takesWork() const noexcept
+    [[nodiscard]] bool acceptsWork() const noexcept
     {
-        return !isUnlisted && record.takesWork();
+        return !isUnlisted && record.acceptsWork();
     }
 };
 
@@ -84,7 +84,7 @@
  * An endpoint whose failure rate exceeds that of the rest of its pool is ejected for a period that doubles with each
  * ejection up to a limit. As the pool is the reference, a failure of all its endpoints ejects none of them.
  */
-class EndpointBoard
+class EndpointRegistry
 {
 public:
     /**
@@ -106,13 +106,13 @@
     [[nodiscard]] std::vector<Endpoint *> usable(const PoolName &pool, TimePoint now) const;
 
     /*! @brief Tells whether any endpoint of a pool accepts work. */
-    [[nodiscard]] bool serves(const PoolName &pool) const;
+    [[nodiscard]] bool canServe(const PoolName &pool) const;
 
     /**
      * @brief Records the start of a run or call.
      * @param instance Endpoint.
      */
-    void started(const InstanceName &instance);
+    void recordStart(const InstanceName &instance);
 
     /**
      * @brief Records the end of a run or call, and ejects the endpoint if it fails too often.
@@ -121,10 +121,11 @@
      * @param now Current time.
      * @param effects Receives a log line for an ejection.
      */
-    void ended(const InstanceName &instance, std::optional<EndpointSign> outcome, TimePoint now, Effects &effects);
+    void recordEnd(const InstanceName &instance, std::optional<EndpointOutcome> outcome, TimePoint now,
+                   Effects &effects);
 
     /*! @brief Records that an endpoint has begun to answer. */
-    void answered(const InstanceName &instance, TimePoint now);
+    void recordAnswer(const InstanceName &instance, TimePoint now);
 
     /**
      * @brief Counts a timeout as a failure; an endpoint without any answer since the start may be ejected at once.
@@ -133,13 +134,13 @@
      * @param now Current time.
      * @param effects Receives a log line for an ejection.
      */
-    void suspect(const InstanceName &instance, TimePoint since, TimePoint now, Effects &effects);
+    void recordTimeout(const InstanceName &instance, TimePoint since, TimePoint now, Effects &effects);
 
     /*! @brief Records how much longer an endpoint will be cold, as it reported. */
-    void toldCold(const InstanceName &instance, Duration remaining, TimePoint now);
+    void recordWarmup(const InstanceName &instance, Duration remaining, TimePoint now);
 
     /*! @brief Records the load that an endpoint reported. */
-    void told(const InstanceName &instance, const EndpointLoad &load, TimePoint now);
+    void recordLoad(const InstanceName &instance, const EndpointLoad &load, TimePoint now);
 
     /*! @brief Returns the records of the listed endpoints. */
     [[nodiscard]] std::vector<EndpointRecord> records() const;
--- a/src/bergamottide/serving/endpointspeed.h
+++ b/src/bergamottide/serving/endpointspeed.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bergamottide/core/time.h"
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 
 #include <vector>
 
--- a/src/bergamottide/serving/events.h
+++ b/src/bergamottide/serving/events.h
@@ -55,7 +55,7 @@
     /*! @brief How long the caller waits for the response, counted from arrival. */
     std::optional<Duration> deadline;
     /*! @brief API key of the workspace. */
-    std::string key;
+    std::string apiKey;
     /*! @brief Requested model; empty if the request names none. */
     std::string model;
     /*! @brief Length of the prompt, and the upper bound on generated tokens. */
@@ -67,7 +67,7 @@
     /*! @brief Input key for stages without dependencies. */
     std::string pieceKey;
     /*! @brief Last event ID that the caller received on an earlier attempt (`Last-Event-ID`). */
-    std::string lastEvent;
+    std::string lastEventId;
 };
 
 /*! @brief Entry of the platform's endpoint list. */
@@ -83,14 +83,14 @@
     /*! @brief Changes with each start of the instance; zero if unknown. */
     std::uint64_t incarnation{};
     /*! @brief Remaining warm-up time when the entry was written; zero if warm. */
-    Duration coldLeft{};
+    Duration remainingWarmup{};
     /*! @brief End of the warm-up by the local clock; set by `EndpointDirectory`. */
     TimePoint coldUntil{};
     /*! @brief Its availability zone is evacuated, so it accepts no new work; set by `EndpointDirectory`. */
     bool isEvacuated{};
 
     /*! @brief Returns whether new work may be sent to it. */
-    [[nodiscard]] bool takesWork() const noexcept
+    [[nodiscard]] bool acceptsWork() const noexcept
     {
         return !draining && !isEvacuated;
     }
@@ -107,7 +107,7 @@
 };
 
 /*! @brief Status and headers of an endpoint's response, decoded. */
-struct EndpointAnswerHead
+struct EndpointResponseHead
 {
     int status{};
     /*! @brief Headers that are forwarded to the caller unchanged. */
@@ -115,21 +115,21 @@
     /*! @brief The endpoint states that it did not execute the request. */
     bool notExecuted{};
     /*! @brief Not executed because input results no longer exist; another endpoint would fail the same way. */
-    bool inputsGone{};
+    bool areInputsMissing{};
     /*! @brief The response belongs to another request. */
-    bool foreign{};
+    bool isForOtherRequest{};
     /*! @brief Signed by the endpoint and without a content encoding; a success is forwarded only if set. */
-    bool sealed{};
+    bool isSigned{};
     std::optional<EndpointLoad> load;
     /*! @brief Remaining warm-up time; zero if not reported. */
-    Duration coldLeft{};
+    Duration remainingWarmup{};
 };
 
 /*! @brief Why a run ended without a complete response. */
 enum class RunFailure : std::uint8_t
 {
     /*! @brief The connection could not be established; nothing was sent. */
-    Unreached,
+    ConnectFailed,
     /*! @brief The connection was lost or the response is invalid; the request may have been executed. */
     Broken
 };
@@ -141,27 +141,27 @@
 };
 
 /*! @brief Event: a caller has disconnected before its response was complete. */
-struct CallerLeft
+struct CallerDisconnected
 {
     CallId call{};
 };
 
 /*! @brief Event: the response headers of a run have been received. */
-struct RunAnswered
+struct RunHeadReceived
 {
     RunNumber run{};
-    EndpointAnswerHead head;
+    EndpointResponseHead head;
 };
 
 /*! @brief Event: part of the response body of a run has been received. */
-struct RunReceived
+struct RunBodyReceived
 {
     RunNumber run{};
     std::string bytes;
 };
 
 /*! @brief Event: the response of a run is complete. */
-struct RunEnded
+struct RunCompleted
 {
     RunNumber run{};
 };
@@ -174,12 +174,12 @@
 };
 
 /*! @brief Outcome of a stage call. */
-enum class StageCallEnd : std::uint8_t
+enum class StageCallStatus : std::uint8_t
 {
     Answered,
     /*! @brief The endpoint accepted no work: it is full, or another instance runs at its address. */
     Rejected,
-    Unreached,
+    ConnectFailed,
     Broken
 };
 
@@ -187,7 +187,7 @@
 struct StageCallEnded
 {
     StageCallNumber call{};
-    StageCallEnd end{};
+    StageCallStatus status{};
     /*! @brief One result for each item, in their order; empty unless answered. */
     std::vector<PieceResult> results;
     /*! @brief Load that the endpoint reported with its response. */
@@ -219,13 +219,13 @@
 };
 
 /*! @brief Event: a peer no longer waits for a task that it submitted. */
-struct PeerTaskGone
+struct PeerTaskCancelled
 {
     PeerTaskNumber number{};
 };
 
 /*! @brief Event: a task delegated to a peer has ended. */
-struct HandedTaskEnded
+struct DelegatedTaskEnded
 {
     StageTaskId task{};
     InstanceName peer;
@@ -233,17 +233,17 @@
      * returned the task. */
     std::vector<StageOutcome> outcomes;
     /*! @brief The peer returned the task unprocessed because it no longer owns the queue. */
-    bool isGivenBack{};
+    bool isReturned{};
 };
 
 /*! @brief Event: a heartbeat of a peer has been received. */
-struct HeartbeatHeard
+struct HeartbeatReceived
 {
     Heartbeat heartbeat;
 };
 
 /*! @brief Event: a peer has freed results whose memory this process accounts for. */
-struct PeerReleased
+struct PeerReleasedResults
 {
     std::vector<std::string> handles;
 };
@@ -266,12 +266,13 @@
 {
 };
 
-using Event = std::variant<RequestArrived, CallerLeft, RunAnswered, RunReceived, RunEnded, RunFailed, StageCallEnded,
-                           CatalogChanged, EndpointsChanged, PeerTaskArrived, PeerTaskGone, HandedTaskEnded,
-                           HeartbeatHeard, PeerReleased, SettingsChanged, DrainRequested, Tick>;
+using Event =
+    std::variant<RequestArrived, CallerDisconnected, RunHeadReceived, RunBodyReceived, RunCompleted, RunFailed,
+                 StageCallEnded, CatalogChanged, EndpointsChanged, PeerTaskArrived, PeerTaskCancelled,
+                 DelegatedTaskEnded, HeartbeatReceived, PeerReleasedResults, SettingsChanged, DrainRequested, Tick>;
 
 /*! @brief Kind of an error response that this process sends instead of an endpoint. */
-enum class AnswerKind : std::uint8_t
+enum class ErrorKind : std::uint8_t
 {
     /*! @brief The request was not executed and will not be; the caller may retry after a while. */
     Unavailable,
@@ -285,16 +286,16 @@
 };
 
 /*! @brief Effect: sends an error response to the caller. */
-struct RefuseCaller
+struct SendErrorResponse
 {
     CallId call{};
-    AnswerKind kind{};
+    ErrorKind kind{};
     /*! @brief Suggested delay before a retry; set for `Unavailable` only. */
     Duration retryAfter{};
 };
 
 /*! @brief Effect: sends a complete endpoint response to the caller. */
-struct AnswerCaller
+struct SendResponse
 {
     CallId call{};
     int status{};
@@ -311,7 +312,7 @@
 };
 
 /*! @brief Effect: sends complete events of a stream to the caller. */
-struct StreamEvents
+struct SendStreamEvents
 {
     CallId call{};
     std::string bytes;
@@ -345,7 +346,7 @@
     /*! @brief Address of an engine from which cached parts of the prompt are fetched; empty for none. */
     std::string fetchFrom;
     /*! @brief ID of the last event already sent to the caller; the stream resumes after it. */
-    std::string lastEvent;
+    std::string lastEventId;
     /*! @brief The request may be executed more than once. */
     bool mayRunTwice{};
     std::shared_ptr<const CallerRequest> request;
@@ -364,7 +365,7 @@
     std::uint32_t stage{};
     std::uint32_t piece{};
     /*! @brief Time until its result is no longer of use. */
-    Duration left{};
+    Duration timeLeft{};
     /*! @brief Input key of the request; set for stages without dependencies. */
     std::string key;
     std::vector<std::string> inputs;
@@ -387,34 +388,34 @@
 };
 
 /*! @brief Effect: frees results at the endpoint that stores them. */
-struct FreeResults
+struct ReleaseResults
 {
     std::string address;
     std::vector<std::string> handles;
 };
 
 /*! @brief Effect: delegates a stage task to the peer that owns the pool's queue. */
-struct HandTask
+struct DelegateTask
 {
     PeerInfo peer;
     StageTask task;
 };
 
 /*! @brief Effect: cancels a task that was delegated to a peer. */
-struct RecallTask
+struct CancelDelegatedTask
 {
     StageTaskId task{};
 };
 
 /*! @brief Effect: returns the outcomes of a peer's task to it; no outcomes return the task unprocessed. */
-struct AnswerPeerTask
+struct CompletePeerTask
 {
     PeerTaskNumber number{};
     std::vector<StageOutcome> outcomes;
 };
 
 /*! @brief Effect: notifies a peer that results have been freed. */
-struct TellReleased
+struct NotifyReleasedResults
 {
     PeerInfo peer;
     std::vector<std::string> handles;
@@ -431,9 +432,10 @@
 {
 };
 
-using Effect = std::variant<RefuseCaller, AnswerCaller, BeginStream, StreamEvents, FinishStream, AbortStream, StartRun,
-                            CancelRun, StartStageCall, CancelStageCall, FreeResults, HandTask, RecallTask,
-                            AnswerPeerTask, TellReleased, SendHeartbeat, Drained, LogLine, Observe>;
+using Effect =
+    std::variant<SendErrorResponse, SendResponse, BeginStream, SendStreamEvents, FinishStream, AbortStream, StartRun,
+                 CancelRun, StartStageCall, CancelStageCall, ReleaseResults, DelegateTask, CancelDelegatedTask,
+                 CompletePeerTask, NotifyReleasedResults, SendHeartbeat, Drained, LogLine, Observe>;
 using Effects = std::vector<Effect>;
 
 } // namespace bergamottide::serving
@@ -445,13 +447,13 @@
 };
 
 template <>
-struct bergamottide::EnumNames<bergamottide::serving::StageCallEnd>
+struct bergamottide::EnumNames<bergamottide::serving::StageCallStatus>
 {
     static constexpr std::array<std::string_view, 4> names{"answered", "rejected", "unreached", "broken"};
 };
 
 template <>
-struct bergamottide::EnumNames<bergamottide::serving::AnswerKind>
+struct bergamottide::EnumNames<bergamottide::serving::ErrorKind>
 {
     static constexpr std::array<std::string_view, 6> names{"unavailable", "timed_out",   "bad_gateway",
                                                            "no_route",    "unknown_key", "bad_request"};
--- a/src/bergamottide/serving/eventsplitter.cpp
+++ b/src/bergamottide/serving/eventsplitter.cpp
@@ -53,7 +53,7 @@
 {
 }
 
-std::string EventSplitter::take(std::string_view bytes)
+std::string EventSplitter::append(std::string_view bytes)
 {
     m_buffer.append(bytes);
     std::string out;
@@ -71,17 +71,17 @@
     return out;
 }
 
-bool EventSplitter::inEvent() const noexcept
+bool EventSplitter::hasPartialEvent() const noexcept
 {
     return !m_buffer.empty();
 }
 
-bool EventSplitter::isBroken() const noexcept
+bool EventSplitter::hasGap() const noexcept
 {
     return m_hasGap;
 }
 
-std::optional<std::uint64_t> EventSplitter::last() const noexcept
+std::optional<std::uint64_t> EventSplitter::lastEventId() const noexcept
 {
     return m_lastEventId;
 }
--- a/src/bergamottide/serving/eventsplitter.h
+++ b/src/bergamottide/serving/eventsplitter.h
@@ -27,16 +27,16 @@
      * @param bytes Next bytes of the stream.
      * @return The events that are now complete and to be forwarded; empty if none.
      */
-    [[nodiscard]] std::string take(std::string_view bytes);
+    [[nodiscard]] std::string append(std::string_view bytes);
 
     /*! @brief Returns whether the bytes so far end in the middle of an event. */
-    [[nodiscard]] bool inEvent() const noexcept;
+    [[nodiscard]] bool hasPartialEvent() const noexcept;
 
     /*! @brief Returns whether an event ID was skipped. */
-    [[nodiscard]] bool isBroken() const noexcept;
+    [[nodiscard]] bool hasGap() const noexcept;
 
     /*! @brief Returns the ID of the last forwarded event, if events have numeric IDs. */
-    [[nodiscard]] std::optional<std::uint64_t> last() const noexcept;
+    [[nodiscard]] std::optional<std::uint64_t> lastEventId() const noexcept;
 
 private:
     void appendEvent(std::string_view event, std::string &out);
--- a/src/bergamottide/serving/fetchpaths.cpp
+++ b/src/bergamottide/serving/fetchpaths.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void FetchPaths::note(const std::set<ZoneName> &sources, const ZoneName &destination, bool isFetched, TimePoint now)
+void FetchPaths::record(const std::set<ZoneName> &sources, const ZoneName &destination, bool isFetched, TimePoint now)
 {
     for (const ZoneName &source : sources) {
         if (source == destination) {
--- a/src/bergamottide/serving/fetchpaths.h
+++ b/src/bergamottide/serving/fetchpaths.h
@@ -26,7 +26,7 @@
      * @param isFetched Whether the fetch succeeded.
      * @param now Current time.
      */
-    void note(const std::set<ZoneName> &sources, const ZoneName &destination, bool isFetched, TimePoint now);
+    void record(const std::set<ZoneName> &sources, const ZoneName &destination, bool isFetched, TimePoint now);
 
     /*! @brief Tells whether the path from any of the source zones to the destination is broken. */
     [[nodiscard]] bool isBroken(const std::set<ZoneName> &sources, const ZoneName &destination, TimePoint now) const;
--- a/src/bergamottide/serving/heartbeat.h
+++ b/src/bergamottide/serving/heartbeat.h
@@ -22,7 +22,7 @@
     /*! @brief Address at which it accepts heartbeats and tasks of its peers. */
     std::string address;
     /*! @brief Capacity of its instance in cores: its CPU share, or less if its network link is the bottleneck. */
-    double strength{1.0};
+    double capacity{1.0};
     ZoneName zone;
 
     [[nodiscard]] bool operator==(const PeerInfo &other) const = default;
@@ -33,7 +33,7 @@
 {
     PeerInfo peer;
     /*! @brief It has a configuration and a list of endpoints, and can own queues. */
-    bool ownsQueues{};
+    bool canOwnQueues{};
 };
 
 /*! @brief Expected wait of new work of a rank at a stage pool. */
@@ -43,15 +43,15 @@
     int rank{};
     Duration wait{};
     /*! @brief Additional wait for each further piece that is queued ahead. */
-    Duration perPiece{};
+    Duration timePerPiece{};
     /*! @brief Typical number of pieces that one call processes together. */
-    double items{1.0};
+    double itemsPerCall{1.0};
     /*! @brief Used fraction of the endpoints' result memory, from 0 to 1. */
-    double roomTaken{};
+    double usedMemoryShare{};
 };
 
 /*! @brief Number of pieces of admitted requests that have yet to reach a stage pool. */
-struct PoolWork
+struct UpcomingWork
 {
     PoolName pool;
     int rank{};
@@ -66,21 +66,21 @@
     /*! @brief It accepts no new work. */
     bool draining{};
     /*! @brief It has a configuration and a list of endpoints, and can own queues. */
-    bool ownsQueues{};
+    bool canOwnQueues{};
     /*! @brief It acts as a relay. */
     bool isRelay{};
     /*! @brief Version of its active configuration. */
-    std::uint64_t version{};
+    std::uint64_t configVersion{};
     /*! @brief Digest of its roster for the receiver. */
     std::uint64_t rosterDigest{};
     /*! @brief Digest of the last roster that it received from the receiver. */
-    std::uint64_t knownDigest{};
+    std::uint64_t acknowledgedDigest{};
     /*! @brief Live peers; absent while the receiver already has the same roster. */
     std::optional<std::vector<RosterEntry>> roster;
     /*! @brief Waits at the pools whose queue it owns; a relay also forwards those of other relays to its leaves. */
     std::vector<PoolWait> waits;
     /*! @brief Work that has yet to reach the pools; from a relay also that of its peers. */
-    std::vector<PoolWork> upcoming;
+    std::vector<UpcomingWork> upcoming;
     /*! @brief Engine report of the process; from a relay also reports of other processes. */
     std::vector<engines::EngineReport> engines;
 };
--- a/src/bergamottide/serving/plainplacement.cpp
+++ b/src/bergamottide/serving/leastloaded.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/serving/plainplacement.h"
+#include "bergamottide/serving/leastloaded.h"
 
 #include <xxhash.h>
 
--- a/src/bergamottide/serving/plainplacement.h
+++ b/src/bergamottide/serving/leastloaded.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 #include "bergamottide/serving/events.h"
 
 #include <string_view>
--- a/src/bergamottide/serving/membershipview.cpp
+++ b/src/bergamottide/serving/membershipview.cpp
@@ -26,7 +26,7 @@
  * subtracted. */
 std::uint64_t rosterEntryDigest(const PeerInfo &peer, bool canOwnQueues)
 {
-    const std::string text = absl::StrCat(peer.instance.text(), " ", peer.address, " ", peer.strength, " ",
+    const std::string text = absl::StrCat(peer.instance.text(), " ", peer.address, " ", peer.capacity, " ",
                                           peer.zone.text(), " ", canOwnQueues);
     return XXH3_64bits(text.data(), text.size());
 }
@@ -213,10 +213,10 @@
     }
     double strongest = 0.0;
     for (const Relay &candidate : candidates) {
-        strongest = std::max(strongest, candidate.info.strength);
+        strongest = std::max(strongest, candidate.info.capacity);
     }
     std::erase_if(candidates, [strongest](const Relay &candidate) {
-        return candidate.info.strength < strongest * minRelayStrength;
+        return candidate.info.capacity < strongest * minRelayStrength;
     });
     m_relays = selectAcrossZones(std::move(candidates), relayKey, maxRelays);
     for (const Relay &relay : m_relays) {
--- a/src/bergamottide/serving/membershipview.h
+++ b/src/bergamottide/serving/membershipview.h
@@ -39,7 +39,7 @@
     /*! @brief Digest of the last roster that it received from this process. */
     std::uint64_t acknowledgedDigest{};
     std::vector<PoolWait> waits;
-    std::vector<PoolWork> upcoming;
+    std::vector<UpcomingWork> upcoming;
 
     /*! @brief Returns whether its own heartbeats arrive here within the timeout. */
     [[nodiscard]] bool hasRecentHeartbeat(TimePoint now) const;
--- a/src/bergamottide/serving/peers.cpp
+++ b/src/bergamottide/serving/peers.cpp
@@ -34,7 +34,7 @@
 engines::EngineReport ageReport(engines::EngineReport report, Duration age)
 {
     for (engines::PlacedPrompt &placed : report.placed) {
-        placed.readIn = std::max(placed.readIn - age, Duration::zero());
+        placed.timeUntilCached = std::max(placed.timeUntilCached - age, Duration::zero());
     }
     return report;
 }
@@ -57,7 +57,7 @@
     }
 }
 
-void Peers::heard(const Heartbeat &heartbeat, TimePoint now)
+void Peers::handleHeartbeat(const Heartbeat &heartbeat, TimePoint now)
 {
     if (heartbeat.from.instance == m_self.instance) {
         return;
@@ -69,7 +69,7 @@
     PeerState &peer = found->second;
     m_lastDiscoveredAt = isNew ? now : m_lastDiscoveredAt;
     const bool isChanged = isNew || !peer.hasRecentHeartbeat(now) || peer.info != heartbeat.from
-        || peer.draining != heartbeat.draining || peer.canOwnQueues != heartbeat.ownsQueues
+        || peer.draining != heartbeat.draining || peer.canOwnQueues != heartbeat.canOwnQueues
         || peer.isRelay != heartbeat.isRelay || heartbeat.roster;
     if (isChanged) {
         m_view.reset();
@@ -78,10 +78,10 @@
     peer.incarnation = heartbeat.incarnation;
     peer.lastHeartbeatAt = now;
     peer.draining = heartbeat.draining;
-    peer.canOwnQueues = heartbeat.ownsQueues;
+    peer.canOwnQueues = heartbeat.canOwnQueues;
     peer.isRelay = heartbeat.isRelay;
     peer.unreachableUntil = {};
-    peer.acknowledgedDigest = heartbeat.knownDigest;
+    peer.acknowledgedDigest = heartbeat.acknowledgedDigest;
     peer.waits = heartbeat.waits;
     peer.upcoming = heartbeat.upcoming;
     mergeReports(heartbeat, now);
@@ -117,7 +117,7 @@
         if (entry.peer.instance == m_self.instance) {
             continue;
         }
-        reporter.roster[entry.peer.instance] = entry.ownsQueues;
+        reporter.roster[entry.peer.instance] = entry.canOwnQueues;
         m_lastSentAt.try_emplace(entry.peer.address, TimePoint{});
         const auto [found, isNew] = m_peers.try_emplace(entry.peer.instance);
         PeerState &peer = found->second;
@@ -130,7 +130,7 @@
     }
 }
 
-void Peers::setOwnsQueues(bool canOwnQueues) noexcept
+void Peers::setCanOwnQueues(bool canOwnQueues) noexcept
 {
     m_canOwnQueues = canOwnQueues;
     m_view.reset();
@@ -165,7 +165,7 @@
     }
 }
 
-std::vector<std::string> Peers::due(TimePoint now)
+std::vector<std::string> Peers::takeDueAddresses(TimePoint now)
 {
     removeExpiredPeers(now);
     std::erase_if(m_reports, [now](const auto &entry) { return now - entry.second.receivedAt >= maxReportAge; });
@@ -214,7 +214,7 @@
         if (peer == nullptr) {
             targets.push_back({sentAt, -std::numeric_limits<double>::max(), 0, address});
         } else if (!isLive(peer->info.instance, now)) {
-            targets.push_back({sentAt, -peer->info.strength, ~rendezvousScore(relayKey, peer->info.instance), address});
+            targets.push_back({sentAt, -peer->info.capacity, ~rendezvousScore(relayKey, peer->info.instance), address});
         }
     }
     std::ranges::sort(targets, {}, [](const Target &target) {
@@ -230,13 +230,13 @@
     return out;
 }
 
-void Peers::complete(Heartbeat &heartbeat, const std::string &to, TimePoint now) const
+void Peers::fillHeartbeat(Heartbeat &heartbeat, const std::string &to, TimePoint now) const
 {
     const MembershipView &membership = view(now);
     const PeerState *receiver = membership.findByAddress(to);
     heartbeat.from = m_self;
     heartbeat.isRelay = membership.isRelay();
-    heartbeat.knownDigest = receiver == nullptr ? 0 : receiver->rosterDigest;
+    heartbeat.acknowledgedDigest = receiver == nullptr ? 0 : receiver->rosterDigest;
     addRoster(heartbeat, receiver, now);
     if (!heartbeat.isRelay) {
         // Reported to both relays, the work would be counted twice.
@@ -264,8 +264,8 @@
 {
     const bool toRelay = receiver != nullptr && receiver->isRelay;
     std::map<std::pair<PoolName, int>, std::uint64_t> pieces;
-    const auto add = [&pieces](const std::vector<PoolWork> &works) {
-        for (const PoolWork &work : works) {
+    const auto add = [&pieces](const std::vector<UpcomingWork> &works) {
+        for (const UpcomingWork &work : works) {
             pieces[{work.pool, work.rank}] += work.pieces;
         }
     };
@@ -355,7 +355,7 @@
     return *m_view;
 }
 
-std::vector<std::string> Peers::readers(TimePoint now) const
+std::vector<std::string> Peers::storeReaders(TimePoint now) const
 {
     return view(now).platformReaders();
 }
@@ -392,7 +392,7 @@
     return view(now).isRelay();
 }
 
-std::optional<PeerInfo> Peers::owner(const PoolName &pool, TimePoint now) const
+std::optional<PeerInfo> Peers::queueOwner(const PoolName &pool, TimePoint now) const
 {
     return view(now).queueOwner(pool);
 }
@@ -462,7 +462,7 @@
             continue;
         }
         std::uint64_t reported = 0;
-        for (const PoolWork &work : peer.upcoming) {
+        for (const UpcomingWork &work : peer.upcoming) {
             reported += work.pool == pool && work.rank <= rank ? work.pieces : 0;
         }
         // Each relay reports the sum for the whole fleet, so that reports of two relays must not be added.
--- a/src/bergamottide/serving/peers.h
+++ b/src/bergamottide/serving/peers.h
@@ -48,10 +48,10 @@
     void addSeeds(const std::vector<std::string> &seeds);
 
     /*! @brief Applies a heartbeat that was received as a request or as the response to one. */
-    void heard(const Heartbeat &heartbeat, TimePoint now);
+    void handleHeartbeat(const Heartbeat &heartbeat, TimePoint now);
 
     /*! @brief Sets whether this process can own queues. While no peer can, it owns all of them in any case. */
-    void setOwnsQueues(bool canOwnQueues) noexcept;
+    void setCanOwnQueues(bool canOwnQueues) noexcept;
 
     /*!
      * @brief Marks a peer as unreachable after a failed call.
@@ -65,7 +65,7 @@
      * @brief Returns the addresses to which a heartbeat is due, and records that it is sent.
      * @param now Current time.
      */
-    [[nodiscard]] std::vector<std::string> due(TimePoint now);
+    [[nodiscard]] std::vector<std::string> takeDueAddresses(TimePoint now);
 
     /**
      * @brief Adds the roster, and on a relay the waits, upcoming work and engine reports of other peers.
@@ -73,7 +73,7 @@
      * @param to Address of the receiver.
      * @param now Current time.
      */
-    void complete(Heartbeat &heartbeat, const std::string &to, TimePoint now) const;
+    void fillHeartbeat(Heartbeat &heartbeat, const std::string &to, TimePoint now) const;
 
     /*! @brief Returns the live peers that do not drain, without this process. */
     [[nodiscard]] std::vector<PeerInfo> live(TimePoint now) const;
@@ -90,7 +90,7 @@
      * @param now Current time.
      * @return The peer, or nothing if this process owns the queue.
      */
-    [[nodiscard]] std::optional<PeerInfo> owner(const PoolName &pool, TimePoint now) const;
+    [[nodiscard]] std::optional<PeerInfo> queueOwner(const PoolName &pool, TimePoint now) const;
 
     /**
      * @brief Returns the peers that read the platform's data on behalf of this process.
@@ -99,7 +99,7 @@
      * @param now Current time.
      * @return Addresses in order of preference; empty if this process reads the platform itself.
      */
-    [[nodiscard]] std::vector<std::string> readers(TimePoint now) const;
+    [[nodiscard]] std::vector<std::string> storeReaders(TimePoint now) const;
 
     /**
      * @brief Divides units of a limited resource among the processes of the fleet and returns this process's share.
--- a/src/bergamottide/serving/pendingtask.h
+++ b/src/bergamottide/serving/pendingtask.h
@@ -47,7 +47,7 @@
 /*! @brief Returns the sort key of a task. */
 [[nodiscard]] inline QueueKey queueKey(const PendingTask &pending)
 {
-    return {pending.isLate, pending.task.rank, pending.task.due, pending.task.id};
+    return {pending.isLate, pending.task.rank, pending.task.latestStart, pending.task.id};
 }
 
 /*! @brief Returns the number of waiting pieces of all tasks in a queue. */
--- a/src/bergamottide/serving/poolload.cpp
+++ b/src/bergamottide/serving/poolload.cpp
@@ -28,7 +28,7 @@
 void PoolLoad::recordCall(const BatchSpec &spec, std::size_t items, std::size_t waiting)
 {
     m_itemsPerCall += callWeight * (static_cast<double>(items) - m_itemsPerCall);
-    if (waiting >= spec.batch) {
+    if (waiting >= spec.maxItems) {
         const double current = backlogItemsPerCall(spec);
         m_backlogItemsPerCall = current + callWeight * (static_cast<double>(items) - current);
     }
@@ -36,7 +36,7 @@
 
 double PoolLoad::backlogItemsPerCall(const BatchSpec &spec) const noexcept
 {
-    return m_backlogItemsPerCall > 0.0 ? m_backlogItemsPerCall : static_cast<double>(spec.batch);
+    return m_backlogItemsPerCall > 0.0 ? m_backlogItemsPerCall : static_cast<double>(spec.maxItems);
 }
 
 double PoolLoad::itemsPerCall() const noexcept
--- a/src/bergamottide/serving/request.h
+++ b/src/bergamottide/serving/request.h
@@ -26,7 +26,7 @@
     std::optional<TimePoint> startAt;
     std::uint32_t completedPieces{};
     /*! @brief One for each piece; without a handle until the piece is done. */
-    std::vector<KeptResult> results;
+    std::vector<StoredResult> results;
     /*! @brief The results have been freed. */
     bool isReleased{};
 
@@ -85,7 +85,7 @@
     bool mayHaveRun{};
 
     /*! @brief Response of the current run, as far as received. */
-    std::optional<EndpointAnswerHead> head;
+    std::optional<EndpointResponseHead> head;
     std::string body;
     /*! @brief The headers of a stream have been sent to the caller. */
     bool isStreamStarted{};
--- a/src/bergamottide/serving/resultmemory.cpp
+++ b/src/bergamottide/serving/resultmemory.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-ResultMemory::ResultMemory(EndpointBoard &endpoints)
+ResultMemory::ResultMemory(EndpointRegistry &endpoints)
     : m_endpoints{endpoints}
 {
 }
@@ -66,21 +66,21 @@
 
 void ResultMemory::setHeldElsewhere(const StageTask &task, TimePoint now)
 {
-    const std::pair key{task.from, task.pool};
+    const std::pair key{task.requester, task.pool};
     const auto previous = m_heldElsewhere.find(key);
     if (previous != m_heldElsewhere.end()) {
         adjustHeldBytes(previous->second.results, false);
         m_heldElsewhere.erase(previous);
     }
-    if (!task.held.empty()) {
-        adjustHeldBytes(task.held, true);
-        m_heldElsewhere.emplace(key, HeldReport{task.held, now});
+    if (!task.heldResults.empty()) {
+        adjustHeldBytes(task.heldResults, true);
+        m_heldElsewhere.emplace(key, HeldReport{task.heldResults, now});
     }
 }
 
-void ResultMemory::adjustHeldBytes(const std::vector<HeldResults> &results, bool isAdded)
+void ResultMemory::adjustHeldBytes(const std::vector<ResultMemoryUsage> &results, bool isAdded)
 {
-    for (const HeldResults &held : results) {
+    for (const ResultMemoryUsage &held : results) {
         Endpoint *endpoint = m_endpoints.find(held.endpoint);
         if (endpoint == nullptr) {
             continue;
--- a/src/bergamottide/serving/resultmemory.h
+++ b/src/bergamottide/serving/resultmemory.h
@@ -2,7 +2,7 @@
 
 #include "bergamottide/core/ids.h"
 #include "bergamottide/core/time.h"
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 #include "bergamottide/serving/stagetask.h"
 
 #include <cstdint>
@@ -37,7 +37,7 @@
      * @brief Creates a tracker without results.
      * @param endpoints Endpoints whose totals are updated; must outlive the tracker.
      */
-    explicit ResultMemory(EndpointBoard &endpoints);
+    explicit ResultMemory(EndpointRegistry &endpoints);
 
     /*! @brief Frees a reservation whose result was not computed or is not used. */
     void releaseReservation(const MemoryReservation &reservation);
@@ -76,13 +76,13 @@
     /*! @brief Report of one process on results of one pool. */
     struct HeldReport
     {
-        std::vector<HeldResults> results;
+        std::vector<ResultMemoryUsage> results;
         TimePoint receivedAt{};
     };
 
-    void adjustHeldBytes(const std::vector<HeldResults> &results, bool isAdded);
+    void adjustHeldBytes(const std::vector<ResultMemoryUsage> &results, bool isAdded);
 
-    EndpointBoard &m_endpoints;
+    EndpointRegistry &m_endpoints;
     std::map<std::pair<InstanceName, PoolName>, HeldReport> m_heldElsewhere;
     std::map<std::string, Result> m_results;
     std::set<std::pair<TimePoint, std::string>> m_expiries;
--- a/src/bergamottide/serving/retrybudget.cpp
+++ b/src/bergamottide/serving/retrybudget.cpp
@@ -10,12 +10,12 @@
 {
 }
 
-void RetryBudget::sent(const PoolName &pool, TimePoint now)
+void RetryBudget::recordRequest(const PoolName &pool, TimePoint now)
 {
     prunedHistory(pool, now).requests.push_back(now);
 }
 
-bool RetryBudget::take(const PoolName &pool, TimePoint now)
+bool RetryBudget::tryTakeRetry(const PoolName &pool, TimePoint now)
 {
     PoolHistory &history = prunedHistory(pool, now);
     const double share = m_options.slack / effectiveProcessCount(now);
@@ -50,7 +50,7 @@
     }
     const std::uint32_t largest = m_processCounts.empty() ? 1 : m_processCounts.front().second;
     const bool isInFirstWindow = m_startedAt == TimePoint{} || m_startedAt > oldest;
-    return isInFirstWindow ? std::max(largest, m_options.sharers) : largest;
+    return isInFirstWindow ? std::max(largest, m_options.assumedProcesses) : largest;
 }
 
 void RetryBudget::setOptions(const RetryBudgetOptions &options)
--- a/src/bergamottide/serving/retrybudget.h
+++ b/src/bergamottide/serving/retrybudget.h
@@ -19,7 +19,7 @@
     double slack{50.0};
     Duration window{std::chrono::seconds{10}};
     /*! @brief Minimum number of processes assumed to share the slack during the first window, before all are known. */
-    std::uint32_t sharers{16};
+    std::uint32_t assumedProcesses{16};
 };
 
 /**
@@ -35,7 +35,7 @@
     explicit RetryBudget(RetryBudgetOptions options);
 
     /*! @brief Counts the first attempt of a request at a pool. */
-    void sent(const PoolName &pool, TimePoint now);
+    void recordRequest(const PoolName &pool, TimePoint now);
 
     /**
      * @brief Takes one retry from the budget.
@@ -43,7 +43,7 @@
      * @param now Current time.
      * @return Whether the retry is allowed.
      */
-    [[nodiscard]] bool take(const PoolName &pool, TimePoint now);
+    [[nodiscard]] bool tryTakeRetry(const PoolName &pool, TimePoint now);
 
     /**
      * @brief Sets the number of processes that share the slack, at least one.
--- a/src/bergamottide/serving/servingengines.cpp
+++ b/src/bergamottide/serving/servingengines.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/serving/plainplacement.h"
+#include "bergamottide/serving/leastloaded.h"
 #include "bergamottide/serving/servingreducer.h"
 
 #include <algorithm>
@@ -19,12 +19,12 @@
 {
     std::vector<engines::EngineListing> list;
     for (const EndpointRecord &record : m_endpoints.records()) {
-        const Pool *pool = m_catalog ? m_catalog->pool(record.pool) : nullptr;
+        const Pool *pool = m_catalog ? m_catalog->findPool(record.pool) : nullptr;
         if (pool != nullptr && pool->engine) {
             list.push_back({record.instance, record.pool, record.incarnation, pool->engine->cacheTokens});
         }
     }
-    m_engines.setEngines(list);
+    m_engineTable.setEngines(list);
 }
 
 std::optional<engines::EngineChoice> ServingReducer::chooseEngine(const Request &request)
@@ -36,10 +36,10 @@
             != request.triedEndpoints.end();
         candidates.push_back({record.instance, record.zone, currentLoad(*endpoint), isTried});
     }
-    engines::GenerationNeeds needs{request.pool, request.prompt, request.callerRequest->attempt, {}, 0, 0.0};
-    const Pool *pool = request.catalog->pool(request.pool);
+    engines::GenerationQuery needs{request.pool, request.prompt, request.callerRequest->attempt, {}, 0, 0.0};
+    const Pool *pool = request.catalog->findPool(request.pool);
     if (pool != nullptr && pool->engine) {
-        needs.fetchRate = pool->engine->fetchRate;
+        needs.fetchRate = pool->engine->fetchTokensPerSecond;
     }
     for (const auto &[zone, bytes] : inputBytesByZone(request)) {
         if (bytes > needs.inputBytes) {
@@ -47,7 +47,7 @@
             needs.inputBytes = bytes;
         }
     }
-    return engines::pickEngine(m_engines, candidates, needs, m_now);
+    return engines::pickEngine(m_engineTable, candidates, needs, m_now);
 }
 
 /*! @brief Returns the bytes of a request's inputs, by the zone in which they are stored. */
@@ -58,7 +58,7 @@
         if (!request.route->stages[stage].isLeaf) {
             continue;
         }
-        for (const KeptResult &result : request.stages[stage].results) {
+        for (const StoredResult &result : request.stages[stage].results) {
             if (const Endpoint *source = m_endpoints.find(result.endpoint); source != nullptr) {
                 bytes[source->record.zone] += result.bytes;
             }
@@ -74,13 +74,13 @@
     double seconds = 0.0;
     for (std::size_t stage = 0; stage < request.stages.size(); ++stage) {
         const StageSpec &spec = request.route->stages[stage];
-        const Pool *pool = request.catalog->pool(spec.pool);
-        if (spec.isLeaf && pool != nullptr && pool->batch && pool->batch->fetchRate > 0.0) {
+        const Pool *pool = request.catalog->findPool(spec.pool);
+        if (spec.isLeaf && pool != nullptr && pool->batch && pool->batch->fetchBytesPerSecond > 0.0) {
             const std::uint64_t bytes = spec.resultBytes * request.stages[stage].pieces;
-            seconds += static_cast<double>(bytes) / pool->batch->fetchRate;
+            seconds += static_cast<double>(bytes) / pool->batch->fetchBytesPerSecond;
         }
     }
-    seconds += choice.ahead / m_engines.model(request.pool).tokensPerSecond();
+    seconds += choice.queuedTokens / m_engineTable.model(request.pool).tokensPerSecond();
     request.inputsFetchedAt = m_now + fetchTimeMargin
         + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds * fetchTimeFactor));
     m_inputReleases.emplace(*request.inputsFetchedAt, request.callerRequest->call);
--- a/src/bergamottide/serving/servingpeers.cpp
+++ b/src/bergamottide/serving/servingpeers.cpp
@@ -19,34 +19,35 @@
  * One process owns the queue of a stage pool for the whole fleet. With a queue in each process, calls would be poorly
  * batched and would collide at endpoints that accept one call at a time.
  */
-void ServingReducer::place(StageTask task)
+void ServingReducer::submitTask(StageTask task)
 {
     if (!m_peers.isDiscoveryFinished(m_now)) {
-        m_heldBack.emplace(task.id, std::move(task));
+        m_deferredTasks.emplace(task.id, std::move(task));
         return;
     }
-    const auto owner = m_peers.owner(task.pool, m_now);
-    task.from = m_peers.self().instance;
-    task.held = heldOfOthers(task.pool, owner ? m_peers.incarnationOf(owner->instance) : m_incarnation);
+    const auto owner = m_peers.queueOwner(task.pool, m_now);
+    task.requester = m_peers.self().instance;
+    task.heldResults =
+        resultsOfOtherSchedulers(task.pool, owner ? m_peers.incarnationOf(owner->instance) : m_incarnation);
     if (!owner) {
-        m_stages.submit(std::move(task), m_now);
+        m_stageScheduler.submit(std::move(task), m_now);
         return;
     }
-    m_handed[task.id] = {owner->instance, task};
-    m_effects.emplace_back(HandTask{*owner, std::move(task)});
+    m_delegatedTasks[task.id] = {owner->instance, task};
+    m_effects.emplace_back(DelegateTask{*owner, std::move(task)});
 }
 
 /*
  * Tasks are held back during initial discovery. When a whole fleet starts, each process would otherwise act as the
  * owner of every queue, and colliding calls would exhaust the retry budget.
  */
-void ServingReducer::placeHeldBack()
+void ServingReducer::submitDeferredTasks()
 {
-    if (m_heldBack.empty() || !m_peers.isDiscoveryFinished(m_now)) {
+    if (m_deferredTasks.empty() || !m_peers.isDiscoveryFinished(m_now)) {
         return;
     }
-    for (auto &[id, task] : std::exchange(m_heldBack, {})) {
-        place(std::move(task));
+    for (auto &[id, task] : std::exchange(m_deferredTasks, {})) {
+        submitTask(std::move(task));
     }
 }
 
@@ -54,7 +55,8 @@
  * Results that a former queue owner had computed still occupy endpoint memory. Its successor has to account for them;
  * otherwise endpoints without free memory would drop the results of its calls.
  */
-std::vector<HeldResults> ServingReducer::heldOfOthers(const PoolName &pool, std::uint64_t scheduler) const
+std::vector<ResultMemoryUsage> ServingReducer::resultsOfOtherSchedulers(const PoolName &pool,
+                                                                        std::uint64_t scheduler) const
 {
     std::map<InstanceName, std::uint64_t> bytes;
     for (const auto &[call, request] : m_requests) {
@@ -62,14 +64,14 @@
             if (stage.pool != pool || stage.isReleased) {
                 continue;
             }
-            for (const KeptResult &result : stage.results) {
-                if (!result.handle.empty() && result.scheduler != scheduler) {
+            for (const StoredResult &result : stage.results) {
+                if (!result.handle.empty() && result.schedulerIncarnation != scheduler) {
                     bytes[result.endpoint] += result.bytes;
                 }
             }
         }
     }
-    std::vector<HeldResults> out;
+    std::vector<ResultMemoryUsage> out;
     out.reserve(bytes.size());
     for (const auto &[endpoint, sum] : bytes) {
         out.push_back({endpoint, sum});
@@ -77,16 +79,16 @@
     return out;
 }
 
-void ServingReducer::on(const HandedTaskEnded &event)
+void ServingReducer::on(const DelegatedTaskEnded &event)
 {
-    const auto found = m_handed.find(event.task);
-    if (found == m_handed.end() || found->second.first != event.peer) {
+    const auto found = m_delegatedTasks.find(event.task);
+    if (found == m_delegatedTasks.end() || found->second.first != event.peer) {
         return;
     }
     StageTask task = std::move(found->second.second);
-    m_handed.erase(found);
-    if (event.isGivenBack && !isOwner(event.peer, task.pool)) {
-        place(std::move(task));
+    m_delegatedTasks.erase(found);
+    if (event.isReturned && !isQueueOwner(event.peer, task.pool)) {
+        submitTask(std::move(task));
         return;
     }
     if (event.outcomes.empty()) {
@@ -96,33 +98,33 @@
                     Part::Membership,
                     "Queue owner does not respond, its task is rescheduled.",
                     {{"peer", event.peer.text()}, {"pool", task.pool.text()}, {"request", task.attempt}}});
-        place(std::move(task));
+        submitTask(std::move(task));
         return;
     }
     for (const StageOutcome &outcome : event.outcomes) {
-        take(outcome, m_peers.incarnationOf(event.peer));
+        handleStageOutcome(outcome, m_peers.incarnationOf(event.peer));
     }
 }
 
 /*! @brief Returns whether a peer owns the queue of a pool in this process's membership. */
-bool ServingReducer::isOwner(const InstanceName &peer, const PoolName &pool) const
+bool ServingReducer::isQueueOwner(const InstanceName &peer, const PoolName &pool) const
 {
-    const auto owner = m_peers.owner(pool, m_now);
+    const auto owner = m_peers.queueOwner(pool, m_now);
     return owner && owner->instance == peer;
 }
 
-void ServingReducer::reclaimTasks()
+void ServingReducer::reclaimTasksOfLostPeers()
 {
     std::vector<StageTask> lost;
-    for (const auto &[id, handed] : m_handed) {
+    for (const auto &[id, handed] : m_delegatedTasks) {
         if (!m_peers.isLive(handed.first, m_now)) {
             lost.push_back(handed.second);
         }
     }
     for (StageTask &task : lost) {
-        m_handed.erase(task.id);
-        m_effects.emplace_back(RecallTask{task.id});
-        place(std::move(task));
+        m_delegatedTasks.erase(task.id);
+        m_effects.emplace_back(CancelDelegatedTask{task.id});
+        submitTask(std::move(task));
     }
 }
 
@@ -132,14 +134,14 @@
  */
 void ServingReducer::handOverQueues(const std::function<bool(const PoolName &pool)> &isTakenOver)
 {
-    for (StageTask &task : m_stages.handOver(isTakenOver)) {
+    for (StageTask &task : m_stageScheduler.takeUnstarted(isTakenOver)) {
         const auto peer = m_peerTasks.find(task.id);
         if (peer == m_peerTasks.end()) {
-            place(std::move(task));
+            submitTask(std::move(task));
             continue;
         }
-        m_peerNumbers.erase(peer->second.number);
-        m_effects.emplace_back(AnswerPeerTask{peer->second.number, {}});
+        m_peerTaskIds.erase(peer->second.number);
+        m_effects.emplace_back(CompletePeerTask{peer->second.number, {}});
         m_peerTasks.erase(peer);
     }
 }
@@ -148,15 +150,15 @@
  * A returning owner gets all new tasks at once, while its substitute still has a backlog. The substitute hands the
  * backlog over after a delay, once all peers know of the change.
  */
-void ServingReducer::handOverLostQueues()
+void ServingReducer::handOverFormerQueues()
 {
     std::set<PoolName> takenOver;
-    for (const PoolName &pool : m_stages.pools()) {
-        if (!m_peers.owner(pool, m_now)) {
-            m_lostQueues.erase(pool);
+    for (const PoolName &pool : m_stageScheduler.queuedPools()) {
+        if (!m_peers.queueOwner(pool, m_now)) {
+            m_formerQueues.erase(pool);
             continue;
         }
-        const TimePoint since = m_lostQueues.try_emplace(pool, m_now).first->second;
+        const TimePoint since = m_formerQueues.try_emplace(pool, m_now).first->second;
         if (m_now - since >= handOverDelay) {
             takenOver.insert(pool);
         }
@@ -169,17 +171,17 @@
 void ServingReducer::on(const PeerTaskArrived &event)
 {
     if (!canServe()) {
-        m_effects.emplace_back(AnswerPeerTask{event.number, {}});
+        m_effects.emplace_back(CompletePeerTask{event.number, {}});
         return;
     }
     StageTask task = event.task;
     task.id = StageTaskId{firstPeerTaskId + m_nextTask++};
     m_peerTasks[task.id] = {event.number, task.pieces, {}};
-    m_peerNumbers[event.number] = task.id;
-    m_stages.submit(std::move(task), m_now);
+    m_peerTaskIds[event.number] = task.id;
+    m_stageScheduler.submit(std::move(task), m_now);
 }
 
-void ServingReducer::takeForPeer(StageTaskId id, const StageOutcome &outcome)
+void ServingReducer::handlePeerTaskOutcome(StageTaskId id, const StageOutcome &outcome)
 {
     PeerTask &task = m_peerTasks.at(id);
     task.outcomes.push_back(outcome);
@@ -187,38 +189,38 @@
     if (!failed && task.outcomes.size() < task.pieces) {
         return;
     }
-    m_peerNumbers.erase(task.number);
-    m_effects.emplace_back(AnswerPeerTask{task.number, std::move(task.outcomes)});
+    m_peerTaskIds.erase(task.number);
+    m_effects.emplace_back(CompletePeerTask{task.number, std::move(task.outcomes)});
     m_peerTasks.erase(id);
 }
 
-void ServingReducer::on(const PeerTaskGone &event)
+void ServingReducer::on(const PeerTaskCancelled &event)
 {
-    const auto found = m_peerNumbers.find(event.number);
-    if (found == m_peerNumbers.end()) {
+    const auto found = m_peerTaskIds.find(event.number);
+    if (found == m_peerTaskIds.end()) {
         return;
     }
     const StageTaskId task = found->second;
-    m_stages.cancel(task);
+    m_stageScheduler.cancel(task);
     for (const StageOutcome &outcome : m_peerTasks[task].outcomes) {
-        m_stages.released(outcome.result.handle);
-        m_effects.emplace_back(FreeResults{outcome.address, {outcome.result.handle}});
+        m_stageScheduler.handleReleased(outcome.result.handle);
+        m_effects.emplace_back(ReleaseResults{outcome.address, {outcome.result.handle}});
     }
     m_peerTasks.erase(task);
-    m_peerNumbers.erase(found);
+    m_peerTaskIds.erase(found);
 }
 
-void ServingReducer::on(const HeartbeatHeard &event)
+void ServingReducer::on(const HeartbeatReceived &event)
 {
     const std::size_t before = m_peers.liveCount(m_now);
-    m_peers.heard(event.heartbeat, m_now);
+    m_peers.handleHeartbeat(event.heartbeat, m_now);
     for (const engines::EngineReport &report : event.heartbeat.engines) {
         if (report.origin != m_peers.self().instance) {
-            m_engines.told(report, m_now);
+            m_engineTable.applyReport(report, m_now);
         }
     }
     const std::size_t after = m_peers.liveCount(m_now);
-    m_budget.setProcessCount(static_cast<std::uint32_t>(after + 1), m_now);
+    m_retryBudget.setProcessCount(static_cast<std::uint32_t>(after + 1), m_now);
     if (before != after) {
         m_effects.emplace_back(Observe{Metric::PeersLive, {}, static_cast<double>(after)});
         m_effects.emplace_back(
@@ -232,49 +234,49 @@
 void ServingReducer::on(const SettingsChanged &event)
 {
     m_peers.addSeeds(event.seeds);
-    m_budget.setOptions(event.retries);
+    m_retryBudget.setOptions(event.retries);
 }
 
-void ServingReducer::on(const PeerReleased &event)
+void ServingReducer::on(const PeerReleasedResults &event)
 {
     for (const std::string &handle : event.handles) {
-        m_stages.released(handle);
+        m_stageScheduler.handleReleased(handle);
     }
 }
 
 void ServingReducer::sendHeartbeats()
 {
-    m_heartbeatAt = m_now + heartbeatPeriod;
-    for (std::string &address : m_peers.due(m_now)) {
+    m_nextHeartbeatAt = m_now + heartbeatPeriod;
+    for (std::string &address : m_peers.takeDueAddresses(m_now)) {
         m_effects.emplace_back(SendHeartbeat{std::move(address)});
     }
 }
 
-std::optional<PoolOutlook> ServingReducer::outlook(const PoolName &pool, int rank)
+std::optional<PoolEstimate> ServingReducer::poolEstimate(const PoolName &pool, int rank)
 {
-    if (!m_endpoints.serves(pool)) {
+    if (!m_endpoints.canServe(pool)) {
         return std::nullopt;
     }
-    const auto owner = m_peers.owner(pool, m_now);
+    const auto owner = m_peers.queueOwner(pool, m_now);
     const auto wait = owner ? m_peers.reportedWait(owner->instance, pool, rank, m_now)
-                            : m_stages.expectedWait(pool, rank, *m_catalog, m_now);
-    PoolOutlook out;
+                            : m_stageScheduler.expectedWait(pool, rank, *m_catalog, m_now);
+    PoolEstimate out;
     if (wait) {
         out.wait = wait->wait;
-        out.perPiece = wait->perPiece;
-        out.items = wait->items;
-        out.roomTaken = wait->roomTaken;
+        out.timePerPiece = wait->timePerPiece;
+        out.itemsPerCall = wait->itemsPerCall;
+        out.usedMemoryShare = wait->usedMemoryShare;
     }
     std::uint64_t own = 0;
-    for (const auto &[key, pieces] : ownUpcoming()) {
+    for (const auto &[key, pieces] : ownUpcomingPieces()) {
         own += key.first == pool && key.second <= rank ? pieces : 0;
     }
-    out.upcoming = m_peers.upcomingPieces(pool, rank, own, m_now);
+    out.upcomingPieces = m_peers.upcomingPieces(pool, rank, own, m_now);
     return out;
 }
 
 /*! @brief Counts the pieces of own requests whose stage has not started, by pool and rank. */
-std::map<std::pair<PoolName, int>, std::uint64_t> ServingReducer::ownUpcoming() const
+std::map<std::pair<PoolName, int>, std::uint64_t> ServingReducer::ownUpcomingPieces() const
 {
     std::map<std::pair<PoolName, int>, std::uint64_t> out;
     for (const auto &[call, request] : m_requests) {
@@ -294,9 +296,9 @@
     return m_peers.live(now);
 }
 
-std::vector<std::string> ServingReducer::readers(TimePoint now) const
+std::vector<std::string> ServingReducer::platformReaders(TimePoint now) const
 {
-    return m_peers.readers(now);
+    return m_peers.storeReaders(now);
 }
 
 Heartbeat ServingReducer::heartbeat(const std::string &to, TimePoint now)
@@ -304,16 +306,16 @@
     Heartbeat heartbeat;
     heartbeat.incarnation = m_incarnation;
     heartbeat.draining = m_draining;
-    heartbeat.ownsQueues = canServe();
-    heartbeat.version = m_catalog ? m_catalog->version : 0;
+    heartbeat.canOwnQueues = canServe();
+    heartbeat.configVersion = m_catalog ? m_catalog->version : 0;
     if (m_catalog) {
-        heartbeat.waits = m_stages.waits(*m_catalog, now);
+        heartbeat.waits = m_stageScheduler.queueWaits(*m_catalog, now);
     }
-    for (const auto &[key, pieces] : ownUpcoming()) {
+    for (const auto &[key, pieces] : ownUpcomingPieces()) {
         heartbeat.upcoming.push_back({key.first, key.second, pieces});
     }
-    heartbeat.engines.push_back(m_engines.report(m_peers.self().instance, m_incarnation, now));
-    m_peers.complete(heartbeat, to, now);
+    heartbeat.engines.push_back(m_engineTable.nextReport(m_peers.self().instance, m_incarnation, now));
+    m_peers.fillHeartbeat(heartbeat, to, now);
     return heartbeat;
 }
 
--- a/src/bergamottide/serving/servingreducer.cpp
+++ b/src/bergamottide/serving/servingreducer.cpp
@@ -43,16 +43,16 @@
 } // namespace
 
 ServingReducer::ServingReducer(const ServingOptions &options)
-    : m_budget{options.retries}
+    : m_retryBudget{options.retries}
     , m_regions{options.regions}
     , m_peers{options.self, options.seeds}
     , m_warmup{[this](const InstanceName &endpoint, std::uint32_t requests, TimePoint now) {
         return m_peers.share(endpoint.text(), requests, now);
     }}
-    , m_stages{m_endpoints, m_budget, m_warmup, m_paths,
-               [this](const KeptResult &result) {
-                   return isResultMemoryScarce(result);
-               }}
+    , m_stageScheduler{m_endpoints, m_retryBudget, m_warmup, m_paths,
+                       [this](const StoredResult &result) {
+                           return isResultMemoryScarce(result);
+                       }}
     , m_incarnation{options.incarnation}
 {
 }
@@ -62,7 +62,7 @@
     m_now = now;
     std::visit([this](const auto &typedEvent) { on(typedEvent); }, event);
     if (m_catalog) {
-        m_stages.dispatch(*m_catalog, m_now, m_effects);
+        m_stageScheduler.dispatch(*m_catalog, m_now, m_effects);
         processStageOutcomes();
     }
     if (m_draining && m_requests.empty()) {
@@ -73,7 +73,7 @@
 
 std::optional<TimePoint> ServingReducer::nextWakeup() const
 {
-    std::optional<TimePoint> next = m_stages.nextWakeup();
+    std::optional<TimePoint> next = m_stageScheduler.nextWakeup();
     if (!m_deadlines.empty()) {
         const TimePoint first = m_deadlines.begin()->first;
         next = next ? std::min(*next, first) : first;
@@ -86,14 +86,14 @@
         const TimePoint first = m_inputReleases.begin()->first;
         next = next ? std::min(*next, first) : first;
     }
-    if (!m_heldBack.empty()) {
+    if (!m_deferredTasks.empty()) {
         const TimePoint check = m_now + deferredTaskPeriod;
         next = next ? std::min(*next, check) : check;
     }
-    return next ? std::min(*next, m_heartbeatAt) : m_heartbeatAt;
+    return next ? std::min(*next, m_nextHeartbeatAt) : m_nextHeartbeatAt;
 }
 
-std::size_t ServingReducer::inProgress() const noexcept
+std::size_t ServingReducer::requestsInProgress() const noexcept
 {
     return m_requests.size();
 }
@@ -106,9 +106,9 @@
 void ServingReducer::on(const CatalogChanged &event)
 {
     m_catalog = event.catalog;
-    m_stages.reviewAll();
+    m_stageScheduler.requestScans();
     updateEngines();
-    m_peers.setOwnsQueues(canServe());
+    m_peers.setCanOwnQueues(canServe());
     m_effects.emplace_back(Observe{Metric::ConfigurationsTotal, {}, 1.0});
     m_effects.emplace_back(Observe{Metric::ConfigVersion, {}, static_cast<double>(m_catalog->version)});
     m_effects.emplace_back(
@@ -121,17 +121,17 @@
 void ServingReducer::on(const EndpointsChanged &event)
 {
     m_endpoints.update(*event.endpoints, m_now, m_effects);
-    m_stages.reviewAll();
+    m_stageScheduler.requestScans();
     updateEngines();
-    m_peers.setOwnsQueues(canServe());
+    m_peers.setCanOwnQueues(canServe());
 }
 
 void ServingReducer::on(const DrainRequested &)
 {
     m_draining = true;
     m_rejectingFrom = m_now + drainAcceptTime;
-    m_peers.setOwnsQueues(false);
-    handOverQueues([this](const PoolName &pool) { return m_peers.owner(pool, m_now).has_value(); });
+    m_peers.setCanOwnQueues(false);
+    handOverQueues([this](const PoolName &pool) { return m_peers.queueOwner(pool, m_now).has_value(); });
     m_effects.emplace_back(
         LogLine{Severity::Info, Part::Entry, "Process is draining.", {{"requests", absl::StrCat(m_requests.size())}}});
 }
@@ -142,10 +142,10 @@
     startDelayedStages();
     releaseFetchedInputs();
     checkStalledRuns();
-    m_stages.expire(m_now, m_effects);
-    placeHeldBack();
-    reclaimTasks();
-    handOverLostQueues();
+    m_stageScheduler.handleTimeouts(m_now, m_effects);
+    submitDeferredTasks();
+    reclaimTasksOfLostPeers();
+    handOverFormerQueues();
     sendHeartbeats();
 }
 
@@ -173,7 +173,7 @@
     }
     Request &admitted = entry->second;
     m_deadlines.emplace(admitted.deadline, call);
-    m_budget.sent(admitted.pool, m_now);
+    m_retryBudget.recordRequest(admitted.pool, m_now);
     log(admitted, "Request admitted.",
         {{"route", admitted.route->name},
          {"workspace", admitted.workspace.name.text()},
@@ -184,9 +184,9 @@
     advance(admitted);
 }
 
-std::string ServingReducer::rejectionReason(AnswerKind kind) const
+std::string ServingReducer::rejectionReason(ErrorKind kind) const
 {
-    if (kind != AnswerKind::Unavailable) {
+    if (kind != ErrorKind::Unavailable) {
         return "not allowed by the configuration";
     }
     if (!m_catalog) {
@@ -196,23 +196,23 @@
 }
 
 /*! @brief Resolves route, workspace, pool and times of a request; returns the error if it is not admitted. */
-std::optional<AnswerKind> ServingReducer::checkAdmission(Request &request)
+std::optional<ErrorKind> ServingReducer::checkAdmission(Request &request)
 {
     if (!request.catalog || (m_draining && m_now >= m_rejectingFrom)) {
-        return AnswerKind::Unavailable;
+        return ErrorKind::Unavailable;
     }
-    const Route *route = request.catalog->find(request.callerRequest->host, request.callerRequest->path);
+    const Route *route = request.catalog->findRoute(request.callerRequest->host, request.callerRequest->path);
     if (route == nullptr) {
-        return AnswerKind::NoRoute;
+        return ErrorKind::NoRoute;
     }
     request.route = route;
     if (request.callerRequest->attempt.empty()) {
-        return AnswerKind::BadRequest;
+        return ErrorKind::BadRequest;
     }
-    if (request.catalog->needsKeys && !route->isPublic) {
-        const auto found = request.catalog->workspaceOfKey.find(request.callerRequest->key);
-        if (found == request.catalog->workspaceOfKey.end()) {
-            return AnswerKind::UnknownKey;
+    if (request.catalog->requiresApiKey && !route->isPublic) {
+        const auto found = request.catalog->workspaceByApiKey.find(request.callerRequest->apiKey);
+        if (found == request.catalog->workspaceByApiKey.end()) {
+            return ErrorKind::UnknownKey;
         }
         request.workspace = found->second;
     }
@@ -225,17 +225,17 @@
     request.pool = selectPool(*route, request.callerRequest->attempt);
     request.prompt = engines::chainOf(request.callerRequest->model, request.callerRequest->prompt);
     if (!hasAllowedEndpoint(request)) {
-        return AnswerKind::Unavailable;
+        return ErrorKind::Unavailable;
     }
     request.stages.resize(route->stages.size());
     for (std::size_t stage = 0; stage < request.stages.size(); ++stage) {
         request.stages[stage].pieces =
             stage < request.callerRequest->pieces.size() ? request.callerRequest->pieces[stage] : 0;
     }
-    request.level = route->topLevel() + 1;
+    request.level = route->maxLevel() + 1;
     request.expectedRunTime = expectedRunTime(request);
     if (!route->stages.empty() && wouldBeTooLate(request)) {
-        return AnswerKind::Unavailable;
+        return ErrorKind::Unavailable;
     }
     return std::nullopt;
 }
@@ -261,7 +261,7 @@
 Duration ServingReducer::expectedRunTime(const Request &request)
 {
     const auto choice = request.prompt.empty() ? std::nullopt : chooseEngine(request);
-    return choice ? choice->expected : m_firstEventTimes.average(request.pool);
+    return choice ? choice->expectedFirstEvent : m_firstEventTimes.average(request.pool);
 }
 
 /*! @brief Returns the shortest possible time of the stages below a level, one full call for each level. */
@@ -270,11 +270,11 @@
     std::map<std::uint32_t, Duration> ofLevel;
     for (std::size_t stage = 0; stage < request.stages.size(); ++stage) {
         const StageSpec &spec = request.route->stages[stage];
-        const Pool *pool = request.catalog->pool(spec.pool);
+        const Pool *pool = request.catalog->findPool(spec.pool);
         if (request.stages[stage].pieces == 0 || spec.level >= belowLevel || pool == nullptr || !pool->batch) {
             continue;
         }
-        const auto items = static_cast<std::int64_t>(std::min(request.stages[stage].pieces, pool->batch->batch));
+        const auto items = static_cast<std::int64_t>(std::min(request.stages[stage].pieces, pool->batch->maxItems));
         ofLevel[spec.level] = std::max(ofLevel[spec.level], pool->batch->callTime + pool->batch->itemTime * items);
     }
     Duration sum{};
@@ -287,7 +287,7 @@
 StageForecast ServingReducer::forecast(const Catalog &catalog)
 {
     return StageForecast{catalog, [this](const PoolName &pool, int rank) {
-                             return outlook(pool, rank);
+                             return poolEstimate(pool, rank);
                          }};
 }
 
@@ -299,7 +299,7 @@
     for (const StageProgress &stage : request.stages) {
         pieces.push_back(stage.pieces);
     }
-    const auto stages = forecast(*request.catalog).allStages(*request.route, pieces, request.rank);
+    const auto stages = forecast(*request.catalog).totalDuration(*request.route, pieces, request.rank);
     if (!stages) {
         return std::nullopt;
     }
@@ -326,7 +326,7 @@
     return route.pools.back().pool;
 }
 
-void ServingReducer::on(const CallerLeft &event)
+void ServingReducer::on(const CallerDisconnected &event)
 {
     Request *request = find(event.call);
     if (request == nullptr) {
@@ -335,11 +335,11 @@
     finish(*request, "caller_left");
 }
 
-void ServingReducer::reject(Request &request, AnswerKind kind, const std::string &reason)
+void ServingReducer::reject(Request &request, ErrorKind kind, const std::string &reason)
 {
     const CallId call = request.callerRequest->call;
-    RefuseCaller effect{call, kind, {}};
-    if (kind == AnswerKind::Unavailable) {
+    SendErrorResponse effect{call, kind, {}};
+    if (kind == ErrorKind::Unavailable) {
         const Duration longest = std::max((request.deadline - m_now) / retryAfterDivisor, minRetryAfter);
         effect.retryAfter = std::min(std::max(defaultRetryAfter, request.lateness()), longest);
     }
@@ -350,7 +350,7 @@
          {"route", request.route == nullptr ? "" : request.route->name},
          {"expected_ms", milliseconds(request.expectedResponseAt - request.arrivedAt)},
          {"objective_ms", milliseconds(request.objective - request.arrivedAt)}},
-        kind == AnswerKind::NoRoute || kind == AnswerKind::UnknownKey ? Severity::Info : Severity::Warning);
+        kind == ErrorKind::NoRoute || kind == ErrorKind::UnknownKey ? Severity::Info : Severity::Warning);
     finish(request, enumName(kind));
 }
 
@@ -398,7 +398,7 @@
             finish(*request, "timed_out");
             continue;
         }
-        reject(*request, request->hasProvablyNotRun() ? AnswerKind::Unavailable : AnswerKind::TimedOut,
+        reject(*request, request->hasProvablyNotRun() ? ErrorKind::Unavailable : ErrorKind::TimedOut,
                "deadline exceeded");
     }
 }
--- a/src/bergamottide/serving/servingreducer.h
+++ b/src/bergamottide/serving/servingreducer.h
@@ -4,7 +4,7 @@
 #include "bergamottide/core/time.h"
 #include "bergamottide/engines/engineplacement.h"
 #include "bergamottide/engines/enginetable.h"
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 #include "bergamottide/serving/events.h"
 #include "bergamottide/serving/fetchpaths.h"
 #include "bergamottide/serving/firsteventtimes.h"
@@ -66,14 +66,14 @@
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
 
     /*! @brief Returns the number of requests in progress. */
-    [[nodiscard]] std::size_t inProgress() const noexcept;
+    [[nodiscard]] std::size_t requestsInProgress() const noexcept;
 
     /*! @brief Returns the live peers, without this process. */
     [[nodiscard]] std::vector<PeerInfo> livePeers(TimePoint now) const;
 
     /*! @brief Returns the addresses of the peers that read the platform's store for this process; none if it reads the
      * store itself. */
-    [[nodiscard]] std::vector<std::string> readers(TimePoint now) const;
+    [[nodiscard]] std::vector<std::string> platformReaders(TimePoint now) const;
 
     /**
      * @brief Builds the heartbeat for a peer.
@@ -87,26 +87,26 @@
 
 private:
     void on(const RequestArrived &event);
-    void on(const CallerLeft &event);
-    void on(const RunAnswered &event);
-    void on(const RunReceived &event);
-    void on(const RunEnded &event);
+    void on(const CallerDisconnected &event);
+    void on(const RunHeadReceived &event);
+    void on(const RunBodyReceived &event);
+    void on(const RunCompleted &event);
     void on(const RunFailed &event);
     void on(const StageCallEnded &event);
     void on(const CatalogChanged &event);
     void on(const EndpointsChanged &event);
     void on(const PeerTaskArrived &event);
-    void on(const PeerTaskGone &event);
-    void on(const HandedTaskEnded &event);
-    void on(const HeartbeatHeard &event);
-    void on(const PeerReleased &event);
+    void on(const PeerTaskCancelled &event);
+    void on(const DelegatedTaskEnded &event);
+    void on(const HeartbeatReceived &event);
+    void on(const PeerReleasedResults &event);
     void on(const SettingsChanged &event);
     void on(const DrainRequested &event);
     void on(const Tick &event);
 
     // Admission.
     void admit(Request request);
-    [[nodiscard]] std::optional<AnswerKind> checkAdmission(Request &request);
+    [[nodiscard]] std::optional<ErrorKind> checkAdmission(Request &request);
     [[nodiscard]] Duration minimumStageTime(const Request &request, std::uint32_t belowLevel) const;
     [[nodiscard]] StageForecast forecast(const Catalog &catalog);
     [[nodiscard]] std::optional<TimePoint> forecastResponse(const Request &request);
@@ -115,16 +115,17 @@
     [[nodiscard]] PoolName selectPool(const Route &route, const std::string &attempt) const;
 
     // Queues owned by peers.
-    void place(StageTask task);
-    [[nodiscard]] std::vector<HeldResults> heldOfOthers(const PoolName &pool, std::uint64_t scheduler) const;
-    void placeHeldBack();
-    void reclaimTasks();
-    [[nodiscard]] bool isOwner(const InstanceName &peer, const PoolName &pool) const;
+    void submitTask(StageTask task);
+    [[nodiscard]] std::vector<ResultMemoryUsage> resultsOfOtherSchedulers(const PoolName &pool,
+                                                                          std::uint64_t scheduler) const;
+    void submitDeferredTasks();
+    void reclaimTasksOfLostPeers();
+    [[nodiscard]] bool isQueueOwner(const InstanceName &peer, const PoolName &pool) const;
     void handOverQueues(const std::function<bool(const PoolName &pool)> &isTakenOver);
-    void handOverLostQueues();
+    void handOverFormerQueues();
     void sendHeartbeats();
-    [[nodiscard]] std::optional<PoolOutlook> outlook(const PoolName &pool, int rank);
-    [[nodiscard]] std::map<std::pair<PoolName, int>, std::uint64_t> ownUpcoming() const;
+    [[nodiscard]] std::optional<PoolEstimate> poolEstimate(const PoolName &pool, int rank);
+    [[nodiscard]] std::map<std::pair<PoolName, int>, std::uint64_t> ownUpcomingPieces() const;
 
     // Stages.
     void advance(Request &request);
@@ -133,18 +134,18 @@
     void submitStage(Request &request, std::uint32_t stage);
     [[nodiscard]] ZoneName preferredZone(const Request &request, std::uint32_t stage);
     void processStageOutcomes();
-    void take(const StageOutcome &outcome, std::uint64_t scheduler);
-    void takeForPeer(StageTaskId id, const StageOutcome &outcome);
+    void handleStageOutcome(const StageOutcome &outcome, std::uint64_t scheduler);
+    void handlePeerTaskOutcome(StageTaskId id, const StageOutcome &outcome);
     void handleStageFailure(Request &request, PieceFailure failure);
     [[nodiscard]] static bool mayRestartStages(const Request &request);
     void restartStages(Request &request);
     void releaseResults(StageProgress &stage);
     void cancelStages(Request &request);
     [[nodiscard]] TimePoint inputExpiry(const Request &request, const std::vector<std::uint32_t> &stages) const;
-    [[nodiscard]] std::vector<KeptResult> inputsOf(const Request &request,
-                                                   const std::vector<std::uint32_t> &stages) const;
-    void freeResults(const std::vector<KeptResult> &results);
-    [[nodiscard]] bool isResultMemoryScarce(const KeptResult &result);
+    [[nodiscard]] std::vector<StoredResult> inputsOf(const Request &request,
+                                                     const std::vector<std::uint32_t> &stages) const;
+    void freeResults(const std::vector<StoredResult> &results);
+    [[nodiscard]] bool isResultMemoryScarce(const StoredResult &result);
 
     // Engines.
     void updateEngines();
@@ -162,18 +163,18 @@
     void recordFetch(const Request &request, bool isFetched);
     [[nodiscard]] bool areInputsUnreachable(const Request &request);
     void removeUnreachable(std::vector<Endpoint *> &endpoints, const std::set<ZoneName> &inputs) const;
-    void retryOrFail(Request &request, bool mayHaveRun, AnswerKind otherwise);
+    void retryOrFail(Request &request, bool mayHaveRun, ErrorKind otherwise);
     void checkStalledRuns();
     [[nodiscard]] bool isStalled(const Request &request) const;
-    void endRun(Request &request, std::optional<EndpointSign> sign);
+    void endRun(Request &request, std::optional<EndpointOutcome> sign);
     void failRun(Request &request, const std::string &reason);
     void forwardResponse(Request &request);
 
     // Responses.
-    void reject(Request &request, AnswerKind kind, const std::string &reason);
+    void reject(Request &request, ErrorKind kind, const std::string &reason);
     void finish(Request &request, std::string_view outcome);
     void recordMetrics(const Request &request, std::string_view outcome);
-    [[nodiscard]] std::string rejectionReason(AnswerKind kind) const;
+    [[nodiscard]] std::string rejectionReason(ErrorKind kind) const;
     void expireRequests();
 
     Request *find(CallId call);
@@ -192,14 +193,14 @@
     TimePoint m_now;
     Effects m_effects;
     std::shared_ptr<const Catalog> m_catalog;
-    EndpointBoard m_endpoints;
-    RetryBudget m_budget;
+    EndpointRegistry m_endpoints;
+    RetryBudget m_retryBudget;
     RegionRule m_regions;
     Peers m_peers;
     WarmupLimiter m_warmup;
     FetchPaths m_paths;
-    StageScheduler m_stages;
-    engines::EngineTable m_engines;
+    StageScheduler m_stageScheduler;
+    engines::EngineTable m_engineTable;
     FirstEventTimes m_firstEventTimes;
     std::uint64_t m_incarnation;
     std::map<CallId, Request> m_requests;
@@ -207,21 +208,21 @@
     /*! @brief Request and stage of each task. */
     std::map<StageTaskId, std::pair<CallId, std::uint32_t>> m_tasks;
     /*! @brief Tasks that wait until the view of the peers has settled. */
-    std::map<StageTaskId, StageTask> m_heldBack;
+    std::map<StageTaskId, StageTask> m_deferredTasks;
     /*! @brief Tasks delegated to peers, with the peer. */
-    std::map<StageTaskId, std::pair<InstanceName, StageTask>> m_handed;
+    std::map<StageTaskId, std::pair<InstanceName, StageTask>> m_delegatedTasks;
     /*! @brief Tasks submitted by peers, by their local identity. */
     std::map<StageTaskId, PeerTask> m_peerTasks;
-    std::map<PeerTaskNumber, StageTaskId> m_peerNumbers;
+    std::map<PeerTaskNumber, StageTaskId> m_peerTaskIds;
     /*! @brief Pools with tasks here whose queue another process owns, and since when. */
-    std::map<PoolName, TimePoint> m_lostQueues;
+    std::map<PoolName, TimePoint> m_formerQueues;
     /*! @brief Requests by deadline. */
     std::set<std::pair<TimePoint, CallId>> m_deadlines;
     /*! @brief Delayed stages, by start time. */
     std::set<std::tuple<TimePoint, CallId, std::uint32_t>> m_delayedStages;
     /*! @brief Requests whose inputs can be freed, by the time at which their engine has fetched them. */
     std::set<std::pair<TimePoint, CallId>> m_inputReleases;
-    TimePoint m_heartbeatAt{};
+    TimePoint m_nextHeartbeatAt{};
     std::uint64_t m_nextRun{1};
     std::uint64_t m_nextTask{1};
     bool m_draining{};
--- a/src/bergamottide/serving/servingruns.cpp
+++ b/src/bergamottide/serving/servingruns.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/serving/plainplacement.h"
+#include "bergamottide/serving/leastloaded.h"
 #include "bergamottide/serving/servingreducer.h"
 
 #include <absl/strings/str_cat.h>
@@ -50,7 +50,7 @@
 std::vector<Endpoint *> ServingReducer::candidateEndpoints(const Request &request)
 {
     std::vector<Endpoint *> out = m_endpoints.usable(request.pool, m_now);
-    const Pool *pool = request.catalog->pool(request.pool);
+    const Pool *pool = request.catalog->findPool(request.pool);
     if (m_paths.hasFailures()) {
         removeUnreachable(out, inputZones(request));
     }
@@ -92,7 +92,7 @@
         endpoint = pickLeastLoaded(candidateEndpoints(request), request.triedEndpoints, request.callerRequest->attempt);
     }
     if (endpoint == nullptr) {
-        reject(request, request.mayHaveRun ? AnswerKind::BadGateway : AnswerKind::Unavailable, "no endpoint available");
+        reject(request, request.mayHaveRun ? ErrorKind::BadGateway : ErrorKind::Unavailable, "no endpoint available");
         return;
     }
     StartRun start;
@@ -108,21 +108,21 @@
             leaves.push_back(stage);
         }
     }
-    for (const KeptResult &input : inputsOf(request, leaves)) {
+    for (const StoredResult &input : inputsOf(request, leaves)) {
         start.inputs.push_back(input.handle);
     }
-    if (const auto last = request.eventSplitter.last(); last && request.isStreamStarted) {
-        start.lastEvent = absl::StrCat(*last);
+    if (const auto last = request.eventSplitter.lastEventId(); last && request.isStreamStarted) {
+        start.lastEventId = absl::StrCat(*last);
     } else {
-        start.lastEvent = request.callerRequest->lastEvent;
+        start.lastEventId = request.callerRequest->lastEventId;
     }
     if (choice) {
         if (const Endpoint *source = m_endpoints.find(choice->fetchFrom); source != nullptr) {
             start.fetchFrom = source->record.address;
         }
-        m_engines.sent(
-            {generationOf(start.run), choice->engine, request.prompt, choice->toRead, choice->ahead, choice->expected},
-            m_now);
+        m_engineTable.recordSent({generationOf(start.run), choice->engine, request.prompt, choice->prefillTokens,
+                                  choice->queuedTokens, choice->expectedFirstEvent},
+                                 m_now);
         scheduleInputRelease(request, *choice);
     }
     start.mayRunTwice = request.route->mayRunTwice();
@@ -135,18 +135,18 @@
     request.head.reset();
     request.body.clear();
     m_runs.emplace(start.run, request.callerRequest->call);
-    m_endpoints.started(start.instance);
-    if (const Pool *pool = request.catalog->pool(request.pool); pool != nullptr) {
-        WarmupLimiter::noteSent(*pool, *endpoint, m_now);
+    m_endpoints.recordStart(start.instance);
+    if (const Pool *pool = request.catalog->findPool(request.pool); pool != nullptr) {
+        WarmupLimiter::recordSent(*pool, *endpoint, m_now);
     }
     log(request, "Request sent to endpoint.",
         {{"route", request.route->name},
          {"endpoint", start.instance.text()},
          {"address", start.address},
          {"in_flight", absl::StrCat(endpoint->inFlight)},
-         {"to_read", absl::StrCat(choice ? choice->toRead : 0)},
-         {"ahead", absl::StrCat(choice ? static_cast<std::uint64_t>(choice->ahead) : 0)},
-         {"expected_ms", absl::StrCat(choice ? choice->expected.count() / 1000 : 0)},
+         {"to_read", absl::StrCat(choice ? choice->prefillTokens : 0)},
+         {"ahead", absl::StrCat(choice ? static_cast<std::uint64_t>(choice->queuedTokens) : 0)},
+         {"expected_ms", absl::StrCat(choice ? choice->expectedFirstEvent.count() / 1000 : 0)},
          {"fetch_from", start.fetchFrom},
          {"sends", absl::StrCat(request.triedEndpoints.size())}});
     m_effects.emplace_back(std::move(start));
@@ -158,7 +158,7 @@
     const bool hasChanged = !isFetched || m_paths.hasFailures();
     const Endpoint *engine = hasChanged ? m_endpoints.find(request.endpoint) : nullptr;
     if (engine != nullptr) {
-        m_paths.note(inputZones(request), engine->record.zone, isFetched, m_now);
+        m_paths.record(inputZones(request), engine->record.zone, isFetched, m_now);
     }
 }
 
@@ -169,39 +169,40 @@
     return engine != nullptr && m_paths.isBroken(inputZones(request), engine->record.zone, m_now);
 }
 
-void ServingReducer::on(const RunAnswered &event)
+void ServingReducer::on(const RunHeadReceived &event)
 {
     Request *request = find(event.run);
     if (request == nullptr) {
         return;
     }
-    m_endpoints.answered(request->endpoint, m_now);
+    m_endpoints.recordAnswer(request->endpoint, m_now);
     m_firstEventTimes.record(request->pool, m_now - request->runStartedAt);
     if (event.head.load) {
-        m_endpoints.told(request->endpoint, *event.head.load, m_now);
+        m_endpoints.recordLoad(request->endpoint, *event.head.load, m_now);
     }
-    if (event.head.coldLeft > Duration::zero()) {
-        m_endpoints.toldCold(request->endpoint, event.head.coldLeft, m_now);
+    if (event.head.remainingWarmup > Duration::zero()) {
+        m_endpoints.recordWarmup(request->endpoint, event.head.remainingWarmup, m_now);
     }
-    if (event.head.foreign || (isSuccess(event.head.status) && !event.head.sealed)) {
+    if (event.head.isForOtherRequest || (isSuccess(event.head.status) && !event.head.isSigned)) {
         m_effects.emplace_back(CancelRun{event.run});
         failRun(*request,
-                event.head.foreign ? "response belongs to another request" : "successful response is not signed");
+                event.head.isForOtherRequest ? "response belongs to another request"
+                                             : "successful response is not signed");
         return;
     }
     request->head = event.head;
     if (event.head.notExecuted) {
         m_effects.emplace_back(CancelRun{event.run});
-        endRun(*request, EndpointSign::Rejected);
-        if (event.head.inputsGone) {
+        endRun(*request, EndpointOutcome::Rejected);
+        if (event.head.areInputsMissing) {
             recordFetch(*request, false);
         }
-        if (event.head.inputsGone && !areInputsUnreachable(*request)) {
+        if (event.head.areInputsMissing && !areInputsUnreachable(*request)) {
             for (StageProgress &stage : request->stages) {
                 releaseResults(stage);
             }
         }
-        retryOrFail(*request, false, AnswerKind::Unavailable);
+        retryOrFail(*request, false, ErrorKind::Unavailable);
         return;
     }
     request->mayHaveRun = true;
@@ -209,7 +210,7 @@
         return;
     }
     recordFetch(*request, true);
-    m_engines.began(generationOf(event.run), m_now);
+    m_engineTable.recordFirstEvent(generationOf(event.run), m_now);
     if (!request->isStreamStarted) {
         m_effects.emplace_back(Observe{Metric::FirstEventSeconds,
                                        {request->pool.text()},
@@ -225,10 +226,10 @@
         return;
     }
     // A resumed stream continues the response already started; the new endpoint repeats an incomplete event.
-    request->eventSplitter = EventSplitter{request->eventSplitter.last()};
+    request->eventSplitter = EventSplitter{request->eventSplitter.lastEventId()};
 }
 
-void ServingReducer::on(const RunReceived &event)
+void ServingReducer::on(const RunBodyReceived &event)
 {
     Request *request = find(event.run);
     if (request == nullptr || !request->head) {
@@ -238,36 +239,36 @@
         request->body += event.bytes;
         return;
     }
-    std::string events = request->eventSplitter.take(event.bytes);
+    std::string events = request->eventSplitter.append(event.bytes);
     if (!events.empty()) {
         // The engine has fetched its inputs by the first event. Freeing them now relieves the stage pools; a stream
         // that fails later has to repeat its stages.
         for (StageProgress &stage : request->stages) {
             releaseResults(stage);
         }
-        m_effects.emplace_back(StreamEvents{request->callerRequest->call, std::move(events)});
+        m_effects.emplace_back(SendStreamEvents{request->callerRequest->call, std::move(events)});
     }
-    if (request->eventSplitter.isBroken()) {
+    if (request->eventSplitter.hasGap()) {
         m_effects.emplace_back(CancelRun{event.run});
         failRun(*request, "event ID skipped");
     }
 }
 
-void ServingReducer::on(const RunEnded &event)
+void ServingReducer::on(const RunCompleted &event)
 {
     Request *request = find(event.run);
     if (request == nullptr) {
         return;
     }
-    if (!request->head || (request->isStreamStarted && request->eventSplitter.inEvent())) {
+    if (!request->head || (request->isStreamStarted && request->eventSplitter.hasPartialEvent())) {
         failRun(*request, request->head ? "stream ends within an event" : "response without headers");
         return;
     }
     const int status = request->head->status;
     if (status >= firstFailureStatus) {
-        endRun(*request, EndpointSign::Failed);
+        endRun(*request, EndpointOutcome::Failed);
         const bool again = request->route->mayRunTwice() && request->triedEndpoints.size() < request->route->maxAttempts
-            && m_budget.take(request->pool, m_now);
+            && m_retryBudget.tryTakeRetry(request->pool, m_now);
         if (again) {
             startRun(*request);
             return;
@@ -275,7 +276,7 @@
         forwardResponse(*request);
         return;
     }
-    endRun(*request, EndpointSign::Good);
+    endRun(*request, EndpointOutcome::Succeeded);
     forwardResponse(*request);
 }
 
@@ -288,7 +289,7 @@
     } else if (request.isStreamStarted) {
         m_effects.emplace_back(AbortStream{call});
     } else {
-        m_effects.emplace_back(AnswerCaller{call, status, request.head->headers, std::move(request.body)});
+        m_effects.emplace_back(SendResponse{call, status, request.head->headers, std::move(request.body)});
     }
     log(request, "Response forwarded.", {{"status", absl::StrCat(status)}, {"endpoint", request.endpoint.text()}});
     finish(request, isSuccess(status) ? "completed" : "endpoint_failed");
@@ -300,10 +301,10 @@
     if (request == nullptr) {
         return;
     }
-    if (event.failure == RunFailure::Unreached) {
-        endRun(*request, EndpointSign::Unreached);
+    if (event.failure == RunFailure::ConnectFailed) {
+        endRun(*request, EndpointOutcome::ConnectFailed);
         // Nothing was sent, so the request was not executed.
-        retryOrFail(*request, false, AnswerKind::Unavailable);
+        retryOrFail(*request, false, ErrorKind::Unavailable);
         return;
     }
     failRun(*request, "connection lost or response incomplete");
@@ -320,17 +321,17 @@
         Severity::Warning);
     request.mayHaveRun = true;
     ++request.executions;
-    endRun(request, EndpointSign::Failed);
-    retryOrFail(request, true, AnswerKind::BadGateway);
+    endRun(request, EndpointOutcome::Failed);
+    retryOrFail(request, true, ErrorKind::BadGateway);
 }
 
-void ServingReducer::retryOrFail(Request &request, bool mayHaveRun, AnswerKind otherwise)
+void ServingReducer::retryOrFail(Request &request, bool mayHaveRun, ErrorKind otherwise)
 {
     // A rejected request was not executed, so one more endpoint may be tried than may execute it.
     const std::size_t sends = request.route->maxAttempts + (mayHaveRun ? 0 : 1);
     const bool allowed = !mayHaveRun || request.route->mayRunTwice();
     if (allowed && request.triedEndpoints.size() < sends && request.executions < request.route->maxAttempts
-        && m_budget.take(request.pool, m_now)) {
+        && m_retryBudget.tryTakeRetry(request.pool, m_now)) {
         log(request, "Retrying request.",
             {{"may_have_run", mayHaveRun ? "yes" : "no"}, {"endpoint", request.endpoint.text()}}, Severity::Warning);
         if (!request.hasReleasedInputs()) {
@@ -349,7 +350,7 @@
         finish(request, "broken_off");
         return;
     }
-    reject(request, request.mayHaveRun ? AnswerKind::BadGateway : otherwise,
+    reject(request, request.mayHaveRun ? ErrorKind::BadGateway : otherwise,
            mayHaveRun ? "endpoint failed" : "no endpoint accepted the request");
 }
 
@@ -376,7 +377,7 @@
         request.isStallDetected = true;
         log(request, "Endpoint does not respond.",
             {{"endpoint", request.endpoint.text()}, {"pool", request.pool.text()}}, Severity::Warning);
-        m_endpoints.suspect(request.endpoint, request.runStartedAt, m_now, m_effects);
+        m_endpoints.recordTimeout(request.endpoint, request.runStartedAt, m_now, m_effects);
         const bool mayRepeat =
             request.route->mayRunTwice() && request.triedEndpoints.size() < request.route->maxAttempts;
         const std::vector<Endpoint *> usable = m_endpoints.usable(request.pool, m_now);
@@ -390,15 +391,15 @@
     }
 }
 
-void ServingReducer::endRun(Request &request, std::optional<EndpointSign> sign)
+void ServingReducer::endRun(Request &request, std::optional<EndpointOutcome> sign)
 {
     if (!request.run) {
         return;
     }
     m_runs.erase(*request.run);
-    m_engines.ended(generationOf(*request.run), m_now);
+    m_engineTable.recordEnd(generationOf(*request.run), m_now);
     request.run.reset();
-    m_endpoints.ended(request.endpoint, sign, m_now, m_effects);
+    m_endpoints.recordEnd(request.endpoint, sign, m_now, m_effects);
 }
 
 } // namespace bergamottide::serving
--- a/src/bergamottide/serving/servingsettings.cpp
+++ b/src/bergamottide/serving/servingsettings.cpp
@@ -59,7 +59,7 @@
     return table;
 }
 
-double ServingSettings::strength() const noexcept
+double ServingSettings::capacity() const noexcept
 {
     return std::min(processorShare, linkMbps / linkMbpsPerCore);
 }
--- a/src/bergamottide/serving/servingsettings.h
+++ b/src/bergamottide/serving/servingsettings.h
@@ -50,7 +50,7 @@
 
     /*! @brief Returns the capacity of the instance in cores, limited by its processor share or its network bandwidth.
      */
-    [[nodiscard]] double strength() const noexcept;
+    [[nodiscard]] double capacity() const noexcept;
 };
 
 /*! @brief Parsed settings, or all issues found. */
--- a/src/bergamottide/serving/servingstages.cpp
+++ b/src/bergamottide/serving/servingstages.cpp
@@ -29,7 +29,7 @@
 
 void ServingReducer::on(const StageCallEnded &event)
 {
-    m_stages.ended(event, m_now, m_effects);
+    m_stageScheduler.handleCallEnded(event, m_now, m_effects);
     processStageOutcomes();
 }
 
@@ -65,7 +65,8 @@
         const StageProgress &progress = request.stages[stage];
         if (request.route->stages[stage].level == request.level && !progress.isDone()) {
             expected[stage] =
-                stageForecast.stage(request.route->stages[stage], progress.pieces, request.rank, Duration::zero())
+                stageForecast
+                    .stageDuration(request.route->stages[stage], progress.pieces, request.rank, Duration::zero())
                     .value_or(Duration::zero());
             longest = std::max(longest, expected[stage]);
         }
@@ -103,33 +104,34 @@
     task.id = StageTaskId{m_nextTask++};
     task.pool = spec.pool;
     task.rank = request.rank;
-    task.deadline = inputExpiry(request, spec.after);
-    task.due = request.objective - request.expectedRunTime - minimumStageTime(request, spec.level + 1);
+    task.deadline = inputExpiry(request, spec.dependencies);
+    task.latestStart = request.objective - request.expectedRunTime - minimumStageTime(request, spec.level + 1);
     task.attempt = request.callerRequest->attempt;
     task.stage = stage;
     task.pieces = progress.pieces;
-    task.inputs = inputsOf(request, spec.after);
-    task.key = task.inputs.empty() ? request.callerRequest->pieceKey : std::string{};
+    task.inputs = inputsOf(request, spec.dependencies);
+    task.inputKey = task.inputs.empty() ? request.callerRequest->pieceKey : std::string{};
     task.resultBytes = spec.resultBytes;
-    task.zone = preferredZone(request, stage);
+    task.preferredZone = preferredZone(request, stage);
     progress.pool = spec.pool;
     progress.task = task.id;
     progress.completedPieces = 0;
     progress.results.assign(progress.pieces, {});
     progress.isReleased = false;
     m_tasks.emplace(task.id, std::pair{request.callerRequest->call, stage});
-    m_budget.sent(spec.pool, m_now);
-    place(std::move(task));
+    m_retryBudget.recordRequest(spec.pool, m_now);
+    submitTask(std::move(task));
 }
 
-std::vector<KeptResult> ServingReducer::inputsOf(const Request &request, const std::vector<std::uint32_t> &stages) const
+std::vector<StoredResult> ServingReducer::inputsOf(const Request &request,
+                                                   const std::vector<std::uint32_t> &stages) const
 {
-    std::vector<KeptResult> inputs;
+    std::vector<StoredResult> inputs;
     for (const std::uint32_t stage : stages) {
         if (stage >= request.stages.size()) {
             continue;
         }
-        for (const KeptResult &result : request.stages[stage].results) {
+        for (const StoredResult &result : request.stages[stage].results) {
             inputs.push_back(result);
         }
     }
@@ -145,11 +147,11 @@
     const StageSpec &spec = request.route->stages[stage];
     const std::uint64_t pieces = request.stages[stage].pieces;
     std::map<ZoneName, std::uint64_t> bytes;
-    for (const std::uint32_t before : spec.after) {
+    for (const std::uint32_t before : spec.dependencies) {
         if (before >= request.stages.size()) {
             continue;
         }
-        for (const KeptResult &result : request.stages[before].results) {
+        for (const StoredResult &result : request.stages[before].results) {
             if (const Endpoint *source = m_endpoints.find(result.endpoint); source != nullptr) {
                 bytes[source->record.zone] += result.bytes * pieces;
             }
@@ -176,7 +178,7 @@
         if (stage >= request.stages.size() || request.stages[stage].pieces == 0) {
             continue;
         }
-        const Pool *pool = request.catalog->pool(request.route->stages[stage].pool);
+        const Pool *pool = request.catalog->findPool(request.route->stages[stage].pool);
         if (pool != nullptr && pool->batch && pool->batch->resultTtl > Duration::zero()) {
             first = std::min(first, m_now + pool->batch->resultTtl - resultTtlMargin);
         }
@@ -186,17 +188,17 @@
 
 void ServingReducer::processStageOutcomes()
 {
-    for (const StageOutcome &outcome : m_stages.takeOutcomes()) {
-        take(outcome, m_incarnation);
+    for (const StageOutcome &outcome : m_stageScheduler.takeOutcomes()) {
+        handleStageOutcome(outcome, m_incarnation);
     }
-    m_stages.dispatch(*m_catalog, m_now, m_effects);
-    freeResults(m_stages.takeUsedInputs());
+    m_stageScheduler.dispatch(*m_catalog, m_now, m_effects);
+    freeResults(m_stageScheduler.takeReleasableInputs());
 }
 
-void ServingReducer::take(const StageOutcome &outcome, std::uint64_t scheduler)
+void ServingReducer::handleStageOutcome(const StageOutcome &outcome, std::uint64_t scheduler)
 {
     if (m_peerTasks.contains(outcome.task)) {
-        takeForPeer(outcome.task, outcome);
+        handlePeerTaskOutcome(outcome.task, outcome);
         return;
     }
     const auto found = m_tasks.find(outcome.task);
@@ -223,7 +225,7 @@
     }
     progress.task.reset();
     m_tasks.erase(found);
-    for (const std::uint32_t before : request->route->stages[stage].after) {
+    for (const std::uint32_t before : request->route->stages[stage].dependencies) {
         if (before < request->stages.size()) {
             // The scheduler of the finished task has already freed its inputs.
             request->stages[before].isReleased = true;
@@ -236,10 +238,10 @@
 {
     log(request, "Stage failed.", {{"reason", std::string{enumName(failure)}}, {"level", absl::StrCat(request.level)}},
         Severity::Warning);
-    const bool again =
-        failure == PieceFailure::InputGone && mayRestartStages(request) && m_budget.take(request.pool, m_now);
+    const bool again = failure == PieceFailure::InputMissing && mayRestartStages(request)
+        && m_retryBudget.tryTakeRetry(request.pool, m_now);
     if (!again) {
-        reject(request, request.mayHaveRun ? AnswerKind::BadGateway : AnswerKind::Unavailable,
+        reject(request, request.mayHaveRun ? ErrorKind::BadGateway : ErrorKind::Unavailable,
                absl::StrCat("stage failed: ", std::string{enumName(failure)}));
         return;
     }
@@ -259,7 +261,7 @@
         stage.completedPieces = 0;
         stage.startAt.reset();
     }
-    request.level = request.route->topLevel() + 1;
+    request.level = request.route->maxLevel() + 1;
     advance(request);
 }
 
@@ -273,30 +275,30 @@
 }
 
 /*! @brief Returns whether the pool that stores a result is short of memory for further results. */
-bool ServingReducer::isResultMemoryScarce(const KeptResult &result)
+bool ServingReducer::isResultMemoryScarce(const StoredResult &result)
 {
     const Endpoint *endpoint = m_endpoints.find(result.endpoint);
-    const auto found = endpoint == nullptr ? std::nullopt : outlook(endpoint->record.pool, 0);
-    return found && found->roomTaken > scarceMemoryShare;
+    const auto found = endpoint == nullptr ? std::nullopt : poolEstimate(endpoint->record.pool, 0);
+    return found && found->usedMemoryShare > scarceMemoryShare;
 }
 
 /*! @brief Frees results at their endpoints, and notifies the peers that account for the memory there. */
-void ServingReducer::freeResults(const std::vector<KeptResult> &results)
+void ServingReducer::freeResults(const std::vector<StoredResult> &results)
 {
     std::map<std::string, std::vector<std::string>> byAddress;
-    std::map<InstanceName, TellReleased> byOwner;
-    for (const KeptResult &result : results) {
+    std::map<InstanceName, NotifyReleasedResults> byOwner;
+    for (const StoredResult &result : results) {
         if (result.handle.empty()) {
             continue;
         }
-        m_stages.released(result.handle);
+        m_stageScheduler.handleReleased(result.handle);
         byAddress[result.address].push_back(result.handle);
         const Endpoint *endpoint = m_endpoints.find(result.endpoint);
         if (endpoint == nullptr) {
             continue;
         }
-        if (const auto owner = m_peers.owner(endpoint->record.pool, m_now)) {
-            TellReleased &tell = byOwner[owner->instance];
+        if (const auto owner = m_peers.queueOwner(endpoint->record.pool, m_now)) {
+            NotifyReleasedResults &tell = byOwner[owner->instance];
             tell.peer = *owner;
             tell.handles.push_back(result.handle);
         }
@@ -305,7 +307,7 @@
         m_effects.emplace_back(std::move(tell));
     }
     for (auto &[address, handles] : byAddress) {
-        m_effects.emplace_back(FreeResults{address, std::move(handles)});
+        m_effects.emplace_back(ReleaseResults{address, std::move(handles)});
     }
 }
 
@@ -314,10 +316,10 @@
 {
     for (StageProgress &stage : request.stages) {
         if (stage.task) {
-            if (m_handed.erase(*stage.task) != 0) {
-                m_effects.emplace_back(RecallTask{*stage.task});
-            } else if (m_heldBack.erase(*stage.task) == 0) {
-                m_stages.cancel(*stage.task);
+            if (m_delegatedTasks.erase(*stage.task) != 0) {
+                m_effects.emplace_back(CancelDelegatedTask{*stage.task});
+            } else if (m_deferredTasks.erase(*stage.task) == 0) {
+                m_stageScheduler.cancel(*stage.task);
             }
             m_tasks.erase(*stage.task);
             stage.task.reset();
--- a/src/bergamottide/serving/stageforecast.h
+++ b/src/bergamottide/serving/stageforecast.h
@@ -12,22 +12,22 @@
 namespace bergamottide::serving {
 
 /*! @brief Estimated load of a stage pool, as seen by a new task of a given rank. */
-struct PoolOutlook
+struct PoolEstimate
 {
     /*! @brief Wait behind the tasks in the queue. */
     Duration wait{};
     /*! @brief Additional wait for each further piece in the queue. */
-    Duration perPiece{};
+    Duration timePerPiece{};
     /*! @brief Pieces of admitted requests that have yet to reach the queue. */
-    std::uint64_t upcoming{};
+    std::uint64_t upcomingPieces{};
     /*! @brief Average number of items in a call, including those of other requests. */
-    double items{1.0};
+    double itemsPerCall{1.0};
     /*! @brief Share of the endpoints' result memory in use, from 0 to 1. */
-    double roomTaken{};
+    double usedMemoryShare{};
 };
 
 /*! @brief Returns the estimated load of a pool for a rank; nothing if none of its endpoints accepts work. */
-using PoolEstimator = std::function<std::optional<PoolOutlook>(const PoolName &pool, int rank)>;
+using PoolEstimator = std::function<std::optional<PoolEstimate>(const PoolName &pool, int rank)>;
 
 /**
  * @brief Predicts how long the stages of a request take.
@@ -53,8 +53,8 @@
      * @param startsIn Time until its task is submitted.
      * @return Time from submission to completion; nothing if no endpoint of the pool accepts work.
      */
-    [[nodiscard]] std::optional<Duration> stage(const StageSpec &stage, std::uint32_t pieces, int rank,
-                                                Duration startsIn) const;
+    [[nodiscard]] std::optional<Duration> stageDuration(const StageSpec &stage, std::uint32_t pieces, int rank,
+                                                        Duration startsIn) const;
 
     /**
      * @brief Predicts the total duration of all stages of a request that starts now.
@@ -63,8 +63,8 @@
      * @param rank Priority rank of the request.
      * @return Time until the last stage is complete; nothing if a pool has no endpoint that accepts work.
      */
-    [[nodiscard]] std::optional<Duration> allStages(const Route &route, const std::vector<std::uint32_t> &pieces,
-                                                    int rank) const;
+    [[nodiscard]] std::optional<Duration> totalDuration(const Route &route, const std::vector<std::uint32_t> &pieces,
+                                                        int rank) const;
 
 private:
     const Catalog &m_catalog;
--- a/src/bergamottide/serving/stagescheduler.cpp
+++ b/src/bergamottide/serving/stagescheduler.cpp
@@ -45,18 +45,18 @@
 Duration fetchTime(const BatchSpec &spec, const StageTask &task)
 {
     double bytes = 0.0;
-    for (const KeptResult &input : task.inputs) {
+    for (const StoredResult &input : task.inputs) {
         bytes += static_cast<double>(input.bytes) * task.pieces;
     }
-    const double seconds = spec.fetchRate > 0.0 ? bytes / spec.fetchRate : 0.0;
+    const double seconds = spec.fetchBytesPerSecond > 0.0 ? bytes / spec.fetchBytesPerSecond : 0.0;
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-std::vector<std::string> resultHandles(const std::vector<KeptResult> &results)
+std::vector<std::string> resultHandles(const std::vector<StoredResult> &results)
 {
     std::vector<std::string> handles;
     handles.reserve(results.size());
-    for (const KeptResult &result : results) {
+    for (const StoredResult &result : results) {
         handles.push_back(result.handle);
     }
     return handles;
@@ -70,10 +70,10 @@
 /*! @brief Returns the share of the endpoints' result memory in use. */
 double memoryUsage(const BatchSpec &spec, const std::vector<Endpoint *> &endpoints)
 {
-    const double capacity = static_cast<double>(spec.resultRoom) * static_cast<double>(endpoints.size());
+    const double capacity = static_cast<double>(spec.resultMemory) * static_cast<double>(endpoints.size());
     double used = 0.0;
     for (const Endpoint *endpoint : endpoints) {
-        used += static_cast<double>(endpoint->takenBytes());
+        used += static_cast<double>(endpoint->usedResultBytes());
     }
     return capacity > 0.0 ? used / capacity : 0.0;
 }
@@ -95,7 +95,7 @@
 
 } // namespace
 
-StageScheduler::StageScheduler(EndpointBoard &endpoints, RetryBudget &budget, const WarmupLimiter &warmup,
+StageScheduler::StageScheduler(EndpointRegistry &endpoints, RetryBudget &budget, const WarmupLimiter &warmup,
                                FetchPaths &paths, MemoryPressureCheck isMemoryScarce)
     : m_endpoints{endpoints}
     , m_budget{budget}
@@ -114,12 +114,13 @@
         pending.waitingPieces.push_back(piece);
     }
     pending.unfinishedPieces = task.pieces;
-    for (const KeptResult &input : task.inputs) {
+    for (const StoredResult &input : task.inputs) {
         if (const Endpoint *source = m_endpoints.find(input.endpoint); source != nullptr) {
             pending.inputZones.insert(source->record.zone);
         }
     }
-    pending.zoneWaitUntil = task.zone.empty() ? now : std::min(now + maxZoneWait, task.due - zoneWaitMargin);
+    pending.zoneWaitUntil =
+        task.preferredZone.empty() ? now : std::min(now + maxZoneWait, task.latestStart - zoneWaitMargin);
     pending.task = std::move(task);
     m_queues[pending.task.pool].insert(queueKey(pending));
     m_resultMemory.setHeldElsewhere(pending.task, now);
@@ -138,7 +139,7 @@
     m_tasks.erase(found);
 }
 
-std::vector<StageTask> StageScheduler::handOver(const std::function<bool(const PoolName &pool)> &isTakenOver)
+std::vector<StageTask> StageScheduler::takeUnstarted(const std::function<bool(const PoolName &pool)> &isTakenOver)
 {
     std::vector<StageTask> out;
     for (const auto &[id, pending] : m_tasks) {
@@ -155,7 +156,7 @@
 void StageScheduler::dispatch(const Catalog &catalog, TimePoint now, Effects &effects)
 {
     for (auto &[name, queue] : m_queues) {
-        const Pool *pool = catalog.pool(name);
+        const Pool *pool = catalog.findPool(name);
         if (queue.empty() || pool == nullptr || !pool->batch) {
             continue;
         }
@@ -178,7 +179,7 @@
     return scan.isRequested || now - scan.at >= scanPeriod || (scan.zoneWaitEnds && *scan.zoneWaitEnds <= now);
 }
 
-void StageScheduler::reviewAll()
+void StageScheduler::requestScans()
 {
     for (auto &[pool, scan] : m_scans) {
         scan.isRequested = true;
@@ -211,7 +212,7 @@
             break;
         }
         const PendingTask &pending = m_tasks.at(std::get<StageTaskId>(key));
-        if (now + rate.waitBehind(ahead) > pending.task.due + lateTolerance) {
+        if (now + rate.waitBehind(ahead) > pending.task.latestStart + lateTolerance) {
             late.push_back(pending.task.id);
             continue;
         }
@@ -294,7 +295,8 @@
         PendingTask &pending = m_tasks.at(item.task);
         const StageTask &task = pending.task;
         const Duration timeLeft = task.deadline - now;
-        start.items.push_back({task.attempt, task.stage, item.piece, timeLeft, task.key, resultHandles(task.inputs)});
+        start.items.push_back(
+            {task.attempt, task.stage, item.piece, timeLeft, task.inputKey, resultHandles(task.inputs)});
         start.deadline = std::max(start.deadline, timeLeft);
         std::erase(pending.waitingPieces, item.piece);
         if (pending.waitingPieces.empty()) {
@@ -328,14 +330,14 @@
                                   {"result_bytes", absl::StrCat(endpoint.resultBytes)},
                                   {"slowness", absl::StrCat(currentSlowness(endpoint, now))}}});
     effects.emplace_back(Observe{Metric::StageCallItems, {pool.name.text()}, static_cast<double>(call.items.size())});
-    m_endpoints.started(call.endpoint);
-    WarmupLimiter::noteSent(pool, endpoint, now);
+    m_endpoints.recordStart(call.endpoint);
+    WarmupLimiter::recordSent(pool, endpoint, now);
     m_callTimeouts.emplace(call.timeoutAt, start.call);
     m_calls.emplace(start.call, std::move(call));
     effects.emplace_back(std::move(start));
 }
 
-void StageScheduler::ended(const StageCallEnded &event, TimePoint now, Effects &effects)
+void StageScheduler::handleCallEnded(const StageCallEnded &event, TimePoint now, Effects &effects)
 {
     const auto node = m_calls.extract(event.call);
     if (node.empty()) {
@@ -344,16 +346,16 @@
     const Call &call = node.mapped();
     m_callTimeouts.erase({call.timeoutAt, event.call});
     m_scans[call.pool].isRequested = true;
-    if (event.end == StageCallEnd::Answered || event.end == StageCallEnd::Rejected) {
-        m_endpoints.answered(call.endpoint, now);
-    }
-    if (event.end != StageCallEnd::Answered || event.results.size() != call.items.size()) {
-        const bool rejected = event.end == StageCallEnd::Rejected;
-        m_endpoints.ended(call.endpoint,
-                          rejected                                   ? EndpointSign::Rejected
-                              : event.end == StageCallEnd::Unreached ? EndpointSign::Unreached
-                                                                     : EndpointSign::Failed,
-                          now, effects);
+    if (event.status == StageCallStatus::Answered || event.status == StageCallStatus::Rejected) {
+        m_endpoints.recordAnswer(call.endpoint, now);
+    }
+    if (event.status != StageCallStatus::Answered || event.results.size() != call.items.size()) {
+        const bool rejected = event.status == StageCallStatus::Rejected;
+        m_endpoints.recordEnd(call.endpoint,
+                              rejected                                             ? EndpointOutcome::Rejected
+                                  : event.status == StageCallStatus::ConnectFailed ? EndpointOutcome::ConnectFailed
+                                                                                   : EndpointOutcome::Failed,
+                              now, effects);
         if (Endpoint *endpoint = m_endpoints.find(call.endpoint); endpoint != nullptr && rejected) {
             endpoint->pausedUntil = now + rejectionPause;
         }
@@ -361,7 +363,7 @@
         return;
     }
     recordDuration(call, now);
-    m_endpoints.ended(call.endpoint, EndpointSign::Good, now, effects);
+    m_endpoints.recordEnd(call.endpoint, EndpointOutcome::Succeeded, now, effects);
     updateExclusivity(call, event.load, now);
     std::vector<std::string> unclaimedHandles;
     std::map<StageTaskId, std::vector<CallItem>> unreachable;
@@ -380,16 +382,16 @@
         }
         if (result.handle.empty()) {
             m_resultMemory.releaseReservation(reservationOf(call, item));
-            if (result.failure == PieceFailure::InputGone && areInputsUnreachable(found->second, call, now)) {
+            if (result.failure == PieceFailure::InputMissing && areInputsUnreachable(found->second, call, now)) {
                 unreachable[item.task].push_back(item);
-            } else if (result.failure == PieceFailure::Late || result.failure == PieceFailure::InputGone) {
+            } else if (result.failure == PieceFailure::Late || result.failure == PieceFailure::InputMissing) {
                 fail(found->second, result.failure);
             } else {
                 if (Endpoint *endpoint = m_endpoints.find(call.endpoint);
-                    endpoint != nullptr && result.failure == PieceFailure::NoRoom) {
+                    endpoint != nullptr && result.failure == PieceFailure::InsufficientMemory) {
                     endpoint->pausedUntil = now + memoryFullPause;
                 }
-                requeue(item, result.failure != PieceFailure::NoRoom);
+                requeue(item, result.failure != PieceFailure::InsufficientMemory);
             }
             continue;
         }
@@ -402,7 +404,7 @@
     }
     requeueUnreachable(unreachable, call, now);
     if (!unclaimedHandles.empty()) {
-        effects.emplace_back(FreeResults{call.address, std::move(unclaimedHandles)});
+        effects.emplace_back(ReleaseResults{call.address, std::move(unclaimedHandles)});
     }
 }
 
@@ -417,8 +419,8 @@
         const auto found = m_tasks.find(call.items[index].task);
         const PieceResult &result = event.results[index];
         const bool isFetched = !result.handle.empty();
-        if (found != m_tasks.end() && (isFetched || result.failure == PieceFailure::InputGone)) {
-            m_paths.note(found->second.inputZones, endpoint->record.zone, isFetched, now);
+        if (found != m_tasks.end() && (isFetched || result.failure == PieceFailure::InputMissing)) {
+            m_paths.record(found->second.inputZones, endpoint->record.zone, isFetched, now);
         }
     }
 }
@@ -443,8 +445,8 @@
         if (found == m_tasks.end()) {
             continue;
         }
-        if (!m_budget.take(call.pool, now)) {
-            fail(found->second, PieceFailure::InputGone);
+        if (!m_budget.tryTakeRetry(call.pool, now)) {
+            fail(found->second, PieceFailure::InputMissing);
             continue;
         }
         for (const CallItem &item : items) {
@@ -502,7 +504,7 @@
         if (!m_tasks.contains(item.task)) {
             continue;
         }
-        if (charged.insert(item.task).second && !m_budget.take(call.pool, now)) {
+        if (charged.insert(item.task).second && !m_budget.tryTakeRetry(call.pool, now)) {
             notRetried.insert(item.task);
         }
         if (!notRetried.contains(item.task)) {
@@ -535,7 +537,7 @@
         return;
     }
     if (pending.inputsReleased && !pending.task.inputs.empty()) {
-        fail(pending, PieceFailure::InputGone);
+        fail(pending, PieceFailure::InputMissing);
         return;
     }
     pending.inputsFetchedAt.reset();
@@ -574,7 +576,7 @@
 
 bool StageScheduler::shouldReleaseEarly(const PendingTask &pending) const
 {
-    const std::vector<KeptResult> &inputs = pending.task.inputs;
+    const std::vector<StoredResult> &inputs = pending.task.inputs;
     return std::any_of(inputs.begin(), inputs.end(), m_isMemoryScarce);
 }
 
@@ -583,16 +585,16 @@
     if (std::exchange(pending.inputsReleased, true)) {
         return;
     }
-    const std::vector<KeptResult> &inputs = pending.task.inputs;
+    const std::vector<StoredResult> &inputs = pending.task.inputs;
     m_releasedInputs.insert(m_releasedInputs.end(), inputs.begin(), inputs.end());
 }
 
-std::vector<KeptResult> StageScheduler::takeUsedInputs()
+std::vector<StoredResult> StageScheduler::takeReleasableInputs()
 {
     return std::exchange(m_releasedInputs, {});
 }
 
-void StageScheduler::expire(TimePoint now, Effects &effects)
+void StageScheduler::handleTimeouts(TimePoint now, Effects &effects)
 {
     m_resultMemory.removeExpired(now);
     releaseFetchedInputs(now);
@@ -611,8 +613,8 @@
         recordDuration(call, now);
         // An endpoint that has not answered since the call was sent is likely unreachable; further calls would time out
         // as well.
-        m_endpoints.suspect(call.endpoint, call.startedAt, now, effects);
-        m_endpoints.ended(call.endpoint, std::nullopt, now, effects);
+        m_endpoints.recordTimeout(call.endpoint, call.startedAt, now, effects);
+        m_endpoints.recordEnd(call.endpoint, std::nullopt, now, effects);
         retryItems(call, true, now, effects);
     }
 }
@@ -622,13 +624,13 @@
     return std::exchange(m_outcomes, {});
 }
 
-void StageScheduler::released(const std::string &handle)
+void StageScheduler::handleReleased(const std::string &handle)
 {
     m_resultMemory.remove(handle);
-    reviewAll();
+    requestScans();
 }
 
-std::vector<PoolWait> StageScheduler::waits(const Catalog &catalog, TimePoint now)
+std::vector<PoolWait> StageScheduler::queueWaits(const Catalog &catalog, TimePoint now)
 {
     std::vector<PoolWait> out;
     for (const auto &[pool, queue] : m_queues) {
@@ -652,7 +654,7 @@
 std::vector<PoolWait> StageScheduler::expectedWaits(const PoolName &pool, const std::vector<int> &ranks,
                                                     const Catalog &catalog, TimePoint now)
 {
-    const Pool *spec = catalog.pool(pool);
+    const Pool *spec = catalog.findPool(pool);
     const std::vector<Endpoint *> usable = m_endpoints.usable(pool, now);
     if (spec == nullptr || !spec->batch || usable.empty()) {
         return {};
@@ -693,7 +695,7 @@
     return out;
 }
 
-std::vector<PoolName> StageScheduler::pools() const
+std::vector<PoolName> StageScheduler::queuedPools() const
 {
     std::vector<PoolName> out;
     for (const auto &[pool, queue] : m_queues) {
@@ -724,7 +726,7 @@
     return first;
 }
 
-std::size_t StageScheduler::reviews() const noexcept
+std::size_t StageScheduler::scanCount() const noexcept
 {
     return m_scanCount;
 }
--- a/src/bergamottide/serving/stagescheduler.h
+++ b/src/bergamottide/serving/stagescheduler.h
@@ -5,7 +5,7 @@
 #include "bergamottide/serving/callplanner.h"
 #include "bergamottide/serving/catalog.h"
 #include "bergamottide/serving/drainrate.h"
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 #include "bergamottide/serving/events.h"
 #include "bergamottide/serving/fetchpaths.h"
 #include "bergamottide/serving/heartbeat.h"
@@ -38,7 +38,7 @@
 {
 public:
     /*! @brief Tells whether the pool that stores a result has little memory left for further results. */
-    using MemoryPressureCheck = std::function<bool(const KeptResult &result)>;
+    using MemoryPressureCheck = std::function<bool(const StoredResult &result)>;
 
     /**
      * @brief Creates a scheduler without tasks.
@@ -48,7 +48,7 @@
      * @param paths Tracks failed fetches between zones; must outlive the scheduler.
      * @param isMemoryScarce Selects the inputs that are released as soon as they are fetched.
      */
-    StageScheduler(EndpointBoard &endpoints, RetryBudget &budget, const WarmupLimiter &warmup, FetchPaths &paths,
+    StageScheduler(EndpointRegistry &endpoints, RetryBudget &budget, const WarmupLimiter &warmup, FetchPaths &paths,
                    MemoryPressureCheck isMemoryScarce);
 
     /**
@@ -69,7 +69,7 @@
      * @param isTakenOver Tells whether another scheduler takes over the queue of a pool.
      * @return The removed tasks.
      */
-    [[nodiscard]] std::vector<StageTask> handOver(const std::function<bool(const PoolName &pool)> &isTakenOver);
+    [[nodiscard]] std::vector<StageTask> takeUnstarted(const std::function<bool(const PoolName &pool)> &isTakenOver);
 
     /**
      * @brief Sends waiting pieces to the endpoints that can take them.
@@ -80,7 +80,7 @@
     void dispatch(const Catalog &catalog, TimePoint now, Effects &effects);
 
     /*! @brief Makes the next dispatch scan every queue; needed after pools or endpoints have changed. */
-    void reviewAll();
+    void requestScans();
 
     /**
      * @brief Handles the end of a call: stores its results, or queues its pieces for a retry.
@@ -88,14 +88,14 @@
      * @param now Current time.
      * @param effects Receives log lines and results to free.
      */
-    void ended(const StageCallEnded &event, TimePoint now, Effects &effects);
+    void handleCallEnded(const StageCallEnded &event, TimePoint now, Effects &effects);
 
     /**
      * @brief Cancels calls that have timed out and retries their pieces; drops expired results and fetched inputs.
      * @param now Current time.
      * @param effects Receives cancellations and log lines.
      */
-    void expire(TimePoint now, Effects &effects);
+    void handleTimeouts(TimePoint now, Effects &effects);
 
     /*! @brief Returns and clears the results and failures collected since the previous invocation. */
     [[nodiscard]] std::vector<StageOutcome> takeOutcomes();
@@ -104,13 +104,13 @@
      * @brief Frees the memory accounted for a result that its endpoint no longer stores.
      * @param handle Handle of the result.
      */
-    void released(const std::string &handle);
+    void handleReleased(const std::string &handle);
 
     /*! @brief Returns and clears the inputs that no task needs any more; the caller frees them at their endpoints. */
-    [[nodiscard]] std::vector<KeptResult> takeUsedInputs();
+    [[nodiscard]] std::vector<StoredResult> takeReleasableInputs();
 
     /*! @brief Returns the expected waits of rank 0 and of each queued rank, for every pool that has had tasks. */
-    [[nodiscard]] std::vector<PoolWait> waits(const Catalog &catalog, TimePoint now);
+    [[nodiscard]] std::vector<PoolWait> queueWaits(const Catalog &catalog, TimePoint now);
 
     /**
      * @brief Estimates how long a new task waits for its first call behind the work queued before it.
@@ -124,13 +124,13 @@
                                                        TimePoint now);
 
     /*! @brief Returns the pools with a non-empty queue. */
-    [[nodiscard]] std::vector<PoolName> pools() const;
+    [[nodiscard]] std::vector<PoolName> queuedPools() const;
 
     /*! @brief Returns when `expire` or `dispatch` has to be called next; nothing if neither is pending. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
 
     /*! @brief Returns the number of queue scans so far; the cost of a scan is linear in the length of the queue. */
-    [[nodiscard]] std::size_t reviews() const noexcept;
+    [[nodiscard]] std::size_t scanCount() const noexcept;
 
 private:
     struct Call
@@ -183,7 +183,7 @@
     void fail(PendingTask &pending, PieceFailure failure);
     void recordDuration(const Call &call, TimePoint now);
 
-    EndpointBoard &m_endpoints;
+    EndpointRegistry &m_endpoints;
     RetryBudget &m_budget;
     FetchPaths &m_paths;
     MemoryPressureCheck m_isMemoryScarce;
@@ -197,7 +197,7 @@
     ResultMemory m_resultMemory;
     CallPlanner m_planner;
     std::vector<StageOutcome> m_outcomes;
-    std::vector<KeptResult> m_releasedInputs;
+    std::vector<StoredResult> m_releasedInputs;
     std::map<PoolName, PoolLoad> m_loads;
     std::uint64_t m_nextCall{1};
     std::size_t m_scanCount{};
--- a/src/bergamottide/serving/stagetask.h
+++ b/src/bergamottide/serving/stagetask.h
@@ -13,14 +13,14 @@
 namespace bergamottide::serving {
 
 /*! @brief Memory taken by results that are stored at an endpoint and not used yet. */
-struct HeldResults
+struct ResultMemoryUsage
 {
     InstanceName endpoint;
     std::uint64_t bytes{};
 };
 
 /*! @brief A result in the memory of the endpoint that computed it. */
-struct KeptResult
+struct StoredResult
 {
     std::string handle;
     /*! @brief Endpoint that stores the result, and its address. */
@@ -28,7 +28,7 @@
     std::string address;
     std::uint64_t bytes{};
     /*! @brief Incarnation of the process whose scheduler requested the result. */
-    std::uint64_t scheduler{};
+    std::uint64_t schedulerIncarnation{};
 };
 
 /*! @brief Identifies one stage of one request within a scheduler. */
@@ -46,7 +46,7 @@
     /*! @brief Time after which its results are of no use. */
     TimePoint deadline{};
     /*! @brief Latest start that can still meet the objective of the request; orders tasks of equal rank. */
-    TimePoint due{};
+    TimePoint latestStart{};
     /*! @brief Identifier of the attempt of the request. */
     std::string attempt;
     /*! @brief Index of the stage in its route. */
@@ -54,17 +54,17 @@
     /*! @brief Number of pieces to compute. */
     std::uint32_t pieces{};
     /*! @brief Input of a stage that follows no other stage. */
-    std::string key;
+    std::string inputKey;
     /*! @brief Results that every piece takes as input; the scheduler releases them once the task has succeeded. */
-    std::vector<KeptResult> inputs;
+    std::vector<StoredResult> inputs;
     /*! @brief Approximate size of the result of one piece. */
     std::uint64_t resultBytes{};
     /*! @brief Zone in which running the task moves the fewest bytes between zones; empty if any zone will do. */
-    ZoneName zone;
+    ZoneName preferredZone;
     /*! @brief Process that handles the request. */
-    InstanceName from;
+    InstanceName requester;
     /*! @brief Results of the pool that this process uses and that another scheduler requested. */
-    std::vector<HeldResults> held;
+    std::vector<ResultMemoryUsage> heldResults;
 };
 
 /*! @brief Why a piece has no result. */
@@ -74,9 +74,9 @@
     /*! @brief Its deadline had passed, or could not be met, when it was due to run. */
     Late,
     /*! @brief One of its inputs is missing or could not be fetched. */
-    InputGone,
+    InputMissing,
     /*! @brief The endpoint has no memory for the result. */
-    NoRoom,
+    InsufficientMemory,
     Error
 };
 
--- a/src/bergamottide/serving/warmuplimiter.cpp
+++ b/src/bergamottide/serving/warmuplimiter.cpp
@@ -26,8 +26,8 @@
 bool WarmupLimiter::isCold(const WarmupSpec &warmup, const Endpoint &endpoint, TimePoint now)
 {
     const bool mayHaveRestarted =
-        endpoint.possibleRestartAt != TimePoint{} && now < endpoint.possibleRestartAt + warmup.time;
-    return mayHaveRestarted || now < endpoint.coldUntil;
+        endpoint.possibleRestartAt != TimePoint{} && now < endpoint.possibleRestartAt + warmup.duration;
+    return mayHaveRestarted || now < endpoint.warmupEndsAt;
 }
 
 bool WarmupLimiter::admits(const Pool &pool, const Endpoint &endpoint, TimePoint now) const
@@ -35,13 +35,13 @@
     if (!pool.warmup || !isCold(*pool.warmup, endpoint, now)) {
         return true;
     }
-    const auto requests = static_cast<std::uint32_t>(std::max(pool.warmup->perSecond, 1.0));
+    const auto requests = static_cast<std::uint32_t>(std::max(pool.warmup->requestsPerSecond, 1.0));
     // All calls to a stage pool come from the process that owns its queue.
     const std::uint32_t quota = pool.batch ? requests : m_quotaOf(endpoint.record.instance, requests, now);
     return sentInWindow(endpoint, now) < quota;
 }
 
-void WarmupLimiter::noteSent(const Pool &pool, Endpoint &endpoint, TimePoint now)
+void WarmupLimiter::recordSent(const Pool &pool, Endpoint &endpoint, TimePoint now)
 {
     if (!pool.warmup) {
         return;
--- a/src/bergamottide/serving/warmuplimiter.h
+++ b/src/bergamottide/serving/warmuplimiter.h
@@ -3,7 +3,7 @@
 #include "bergamottide/core/ids.h"
 #include "bergamottide/core/time.h"
 #include "bergamottide/serving/catalog.h"
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 
 #include <cstdint>
 #include <functional>
@@ -48,7 +48,7 @@
      * @param endpoint Endpoint.
      * @param now Current time.
      */
-    static void noteSent(const Pool &pool, Endpoint &endpoint, TimePoint now);
+    static void recordSent(const Pool &pool, Endpoint &endpoint, TimePoint now);
 
     /*! @brief Tells whether an endpoint is cold or may have restarted recently. */
     [[nodiscard]] static bool isCold(const WarmupSpec &warmup, const Endpoint &endpoint, TimePoint now);
--- a/src/bergamottide/side/atmostoncehandler.cpp
+++ b/src/bergamottide/sidecar/atmostoncehandler.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/atmostoncehandler.h"
+#include "bergamottide/sidecar/atmostoncehandler.h"
 
 #include <algorithm>
 #include <utility>
@@ -35,16 +35,17 @@
         refused.reason = Reason::StaleView;
     } else if (!m_context.peers.isFresh(from)) {
         refused.reason = Reason::Paused;
-    } else if (m_context.draining && !m_ledger.knows(message.request)) {
+    } else if (m_context.draining && !m_ledger.contains(message.request)) {
         refused.reason = Reason::Draining;
-    } else if (m_delivery.isMemoryLow() && !m_ledger.knows(message.request)) {
+    } else if (m_delivery.isMemoryLow() && !m_ledger.contains(message.request)) {
         refused.reason = Reason::LedgerFull;
-    } else if (message.keyed && !m_ledger.knows(message.request)) {
+    } else if (message.hasIdempotencyKey && !m_ledger.contains(message.request)) {
         refused = checkKeyOwnership(message).value_or(refused);
     }
     if (refused.reason == Reason::None) {
         const Duration remaining = std::min(message.remaining, policy.maxDeadline);
-        const LedgerOpening opening = m_ledger.open(message.request, remaining, message.keyed, limits(), m_context.now);
+        const LedgerOpenResult opening =
+            m_ledger.open(message.request, remaining, message.hasIdempotencyKey, limits(), m_context.now);
         if (opening.reason == Reason::None) {
             m_drivers[opening.record.serial] = Driver{from, std::nullopt};
             m_context.effects.send(from,
@@ -103,7 +104,7 @@
     const Reason claim = m_ledger.claim(message.serial, message.run, m_context.now);
     if (claim == Reason::UnknownTicket) {
         // A serial whose record was removed may have run; one that was never issued has not.
-        const RunState state = m_ledger.issued(message.serial) ? RunState::Unknown : RunState::NotStarted;
+        const RunState state = m_ledger.wasIssued(message.serial) ? RunState::Unknown : RunState::NotStarted;
         m_context.effects.send(from, RunFinished{message.run, state, Reason::UnknownTicket});
         return;
     }
@@ -194,8 +195,8 @@
 
 std::optional<OpenRefused> AtMostOnceHandler::checkKeyOwnership(const OpenRequest &message) const
 {
-    const KeyVerdict verdict =
-        m_keyOwnership.judge(message.request, m_context.identity.instance, m_context.now, keyRetention());
+    const KeyDecision verdict =
+        m_keyOwnership.decide(message.request, m_context.identity.instance, m_context.now, keyRetention());
     if (verdict.reason == Reason::None) {
         return std::nullopt;
     }
--- a/src/bergamottide/side/atmostoncehandler.h
+++ b/src/bergamottide/sidecar/atmostoncehandler.h
@@ -2,7 +2,7 @@
 
 #include "bergamottide/ledger/keyownership.h"
 #include "bergamottide/ledger/ledger.h"
-#include "bergamottide/side/runscheduler.h"
+#include "bergamottide/sidecar/runscheduler.h"
 
 #include <map>
 #include <optional>
--- a/src/bergamottide/side/attemptfence.cpp
+++ b/src/bergamottide/sidecar/attemptfence.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/attemptfence.h"
+#include "bergamottide/sidecar/attemptfence.h"
 
 #include <algorithm>
 
--- a/src/bergamottide/side/drain.cpp
+++ b/src/bergamottide/sidecar/drain.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/drain.h"
+#include "bergamottide/sidecar/drain.h"
 
 namespace bergamottide {
 
@@ -30,7 +30,7 @@
         return;
     }
     m_completed = true;
-    m_context.effects.log(Severity::Info, Part::Side, "Drain complete.");
+    m_context.effects.log(Severity::Info, Part::Sidecar, "Drain complete.");
     m_context.effects.add(
         AuditRecord{AuditKind::DrainFinished, m_context.identity.instance.text(), "nothing left", ""});
     m_context.effects.add(DrainComplete{});
@@ -46,7 +46,7 @@
     // After a pause the drain may have been signalled at any time since the pause began.
     m_context.drainingSince = m_context.peers.awaitsConfirmation() ? m_context.pausedSince : m_context.now;
     const char *text = draining ? "Drain started." : "Drain called off.";
-    m_context.effects.log(Severity::Info, Part::Side, text, {{"cause", cause}});
+    m_context.effects.log(Severity::Info, Part::Sidecar, text, {{"cause", cause}});
     const AuditKind kind = draining ? AuditKind::DrainStarted : AuditKind::Return;
     m_context.effects.add(AuditRecord{kind, m_context.identity.instance.text(), cause, ""});
 }
@@ -55,11 +55,11 @@
 {
     const Duration maxDuration = m_context.policy.maxDeadline + m_context.policy.resultRetention;
     if (*m_requestedAt + maxDuration < m_context.now) {
-        m_context.effects.log(Severity::Warning, Part::Side, "Drain timed out; unfinished runs are dropped.",
+        m_context.effects.log(Severity::Warning, Part::Sidecar, "Drain timed out; unfinished runs are dropped.",
                               {{"runs", std::to_string(m_runs.size())}});
         return true;
     }
-    if (m_ledger.unfinished() > 0) {
+    if (m_ledger.unfinishedCount() > 0) {
         return false;
     }
     bool isIdle = true;
--- a/src/bergamottide/side/drain.h
+++ b/src/bergamottide/sidecar/drain.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "bergamottide/ledger/ledger.h"
-#include "bergamottide/side/runtable.h"
-#include "bergamottide/side/sidecarcontext.h"
+#include "bergamottide/sidecar/runtable.h"
+#include "bergamottide/sidecar/sidecarcontext.h"
 
 #include <optional>
 #include <string>
--- a/src/bergamottide/side/effectbuffer.h
+++ b/src/bergamottide/sidecar/effectbuffer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bergamottide/side/sideevents.h"
+#include "bergamottide/sidecar/sidecarevents.h"
 
 #include <string>
 #include <utility>
@@ -16,7 +16,7 @@
      * @brief Adds an effect.
      * @param effect Effect; executed after those added earlier.
      */
-    void add(SideEffect effect)
+    void add(SidecarEffect effect)
     {
         m_effects.push_back(std::move(effect));
     }
@@ -56,13 +56,13 @@
     }
 
     /*! @brief Returns the collected effects and clears the buffer. */
-    [[nodiscard]] SideEffects take()
+    [[nodiscard]] SidecarEffects take()
     {
         return std::exchange(m_effects, {});
     }
 
 private:
-    SideEffects m_effects;
+    SidecarEffects m_effects;
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/side/loadreporter.cpp
+++ b/src/bergamottide/sidecar/loadreporter.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/loadreporter.h"
+#include "bergamottide/sidecar/loadreporter.h"
 
 #include <algorithm>
 #include <utility>
@@ -18,7 +18,7 @@
 {
 }
 
-void LoadReporter::onReport(const EndpointReport &event)
+void LoadReporter::onReport(const EndpointLoadReport &event)
 {
     m_models = event.models;
 }
@@ -67,7 +67,7 @@
     Duration::rep sidecars = 0;
     if (m_context.view) {
         for (const auto &[name, instance] : m_context.view->instances) {
-            sidecars += instance.role == Role::Side && instance.zone == m_context.identity.zone ? 1 : 0;
+            sidecars += instance.role == Role::Sidecar && instance.zone == m_context.identity.zone ? 1 : 0;
         }
     }
     const Duration base = std::max(m_context.policy.reportPeriod, Duration{1});
--- a/src/bergamottide/side/loadreporter.h
+++ b/src/bergamottide/sidecar/loadreporter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bergamottide/side/runscheduler.h"
+#include "bergamottide/sidecar/runscheduler.h"
 
 #include <optional>
 #include <vector>
@@ -25,7 +25,7 @@
     LoadReporter(SidecarContext &context, const RunScheduler &scheduler);
 
     /*! @brief Stores the loaded models of a report from the endpoint. */
-    void onReport(const EndpointReport &event);
+    void onReport(const EndpointLoadReport &event);
     /*! @brief Sends a report to one process at once. */
     void reportTo(const InstanceName &peer);
     /*! @brief Sends a report to every connected process at once. */
--- a/src/bergamottide/side/resultdelivery.cpp
+++ b/src/bergamottide/sidecar/resultdelivery.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/resultdelivery.h"
+#include "bergamottide/sidecar/resultdelivery.h"
 
 #include <xxhash.h>
 
@@ -20,7 +20,7 @@
 
 std::size_t sizeInBytes(const RunRecord &run)
 {
-    return run.spec.body.size() + run.spec.previous.size() + run.result.size();
+    return run.spec.body.size() + run.spec.previousResult.size() + run.result.size();
 }
 
 void freeMemory(std::string &text)
@@ -78,9 +78,9 @@
     run.retryAfter = outcome.retryAfter;
     run.ended = m_context.now;
     run.digest = XXH3_64bits(run.result.data(), run.result.size());
-    m_heldBytes -= run.spec.body.size() + run.spec.previous.size();
+    m_heldBytes -= run.spec.body.size() + run.spec.previousResult.size();
     freeMemory(run.spec.body);
-    freeMemory(run.spec.previous);
+    freeMemory(run.spec.previousResult);
     for (const RunSubscriber &subscriber : run.subscribers) {
         sendEnd(run, subscriber.peer);
     }
@@ -145,8 +145,8 @@
     finished.length = run.result.size();
     finished.digest = run.digest;
     const TimePoint started = run.started.value_or(run.ended);
-    finished.service = run.ended - started;
-    finished.waited = started - run.arrived;
+    finished.serviceTime = run.ended - started;
+    finished.queueTime = started - run.arrived;
     finished.tokens = run.tokens;
     finished.retryAfter = run.retryAfter;
     m_context.effects.send(peer, finished);
--- a/src/bergamottide/side/resultdelivery.h
+++ b/src/bergamottide/sidecar/resultdelivery.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "bergamottide/side/runtable.h"
-#include "bergamottide/side/sidecarcontext.h"
+#include "bergamottide/sidecar/runtable.h"
+#include "bergamottide/sidecar/sidecarcontext.h"
 
 #include <string>
 #include <string_view>
--- a/src/bergamottide/side/runmessagehandler.cpp
+++ b/src/bergamottide/sidecar/runmessagehandler.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/runmessagehandler.h"
+#include "bergamottide/sidecar/runmessagehandler.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/bergamottide/side/runmessagehandler.h
+++ b/src/bergamottide/sidecar/runmessagehandler.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "bergamottide/side/atmostoncehandler.h"
-#include "bergamottide/side/attemptfence.h"
+#include "bergamottide/sidecar/atmostoncehandler.h"
+#include "bergamottide/sidecar/attemptfence.h"
 
 namespace bergamottide {
 
--- a/src/bergamottide/side/runscheduler.cpp
+++ b/src/bergamottide/sidecar/runscheduler.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/runscheduler.h"
+#include "bergamottide/sidecar/runscheduler.h"
 
 #include <algorithm>
 #include <utility>
@@ -51,15 +51,15 @@
         refuse(run, Reason::QueueFull);
         return;
     }
-    const QueueOutcome outcome = m_queue.push(item);
+    const PushResult outcome = m_queue.push(item);
     if (!outcome.accepted) {
         refuse(run, Reason::QueueFull);
         return;
     }
-    if (!outcome.victim) {
+    if (!outcome.evicted) {
         return;
     }
-    RunRecord *evicted = m_runs.find(outcome.victim->run);
+    RunRecord *evicted = m_runs.find(outcome.evicted->run);
     if (evicted != nullptr) {
         refuse(*evicted, Reason::QueueFull);
     }
@@ -68,7 +68,7 @@
 void RunScheduler::dispatch()
 {
     refuseInfeasible();
-    m_queue.setParallel(m_limit.current());
+    m_queue.setConcurrency(m_limit.current());
     while (!m_context.peers.awaitsConfirmation() && m_running.size() < m_limit.current()) {
         const std::optional<QueueItem> item = m_queue.pop(m_context.now);
         if (!item) {
@@ -83,7 +83,7 @@
 
 void RunScheduler::refuseInfeasible()
 {
-    for (const QueueItem &item : m_queue.takeDoomed(m_context.now)) {
+    for (const QueueItem &item : m_queue.takeInfeasible(m_context.now)) {
         RunRecord *run = m_runs.find(item.run);
         if (run == nullptr) {
             continue;
@@ -105,12 +105,12 @@
 
 void RunScheduler::cancelRunning(RunRecord &run, Reason reason)
 {
-    m_context.effects.add(EndpointCancel{run.spec.run});
+    m_context.effects.add(CancelEndpointRun{run.spec.run});
     m_running.erase(run.spec.run);
     endRun(run, {RunState::Failed, reason});
 }
 
-void RunScheduler::onPiece(const EndpointPiece &event)
+void RunScheduler::onPiece(const EndpointResultPiece &event)
 {
     RunRecord *run = m_runs.find(event.run);
     if (run == nullptr || run->state != RunState::Running) {
@@ -122,11 +122,11 @@
         return;
     }
     // Protects the sidecar's memory from a broken or hostile endpoint.
-    m_context.effects.add(EndpointCancel{event.run});
+    m_context.effects.add(CancelEndpointRun{event.run});
     onFinished({event.run, EndpointResult::Failed, Reason::AnswerTooLarge});
 }
 
-void RunScheduler::onFinished(const EndpointFinished &event)
+void RunScheduler::onFinished(const EndpointRunEnded &event)
 {
     RunRecord *run = m_runs.find(event.run);
     if (run == nullptr || run->state != RunState::Running) {
@@ -155,7 +155,7 @@
 
 std::optional<TimePoint> RunScheduler::nextInfeasibleAt() const
 {
-    return m_queue.nextDoomed();
+    return m_queue.nextInfeasibleAt();
 }
 
 std::uint32_t RunScheduler::queued() const noexcept
@@ -196,7 +196,7 @@
     item.run = spec.run;
     item.workspace = spec.workspace;
     item.cost = m_serviceTimes.estimate(classOf(spec), spec.size).value_or(spec.cost);
-    item.following = spec.following;
+    item.laterStagesCost = spec.laterStagesCost;
     item.deadline = run.deadline;
     item.value = spec.value;
     return item;
@@ -216,7 +216,7 @@
         m_ledger.markRunning(run.spec.serial);
     }
     m_running.emplace(run.spec.run, static_cast<std::uint32_t>(m_running.size()) + 1);
-    m_context.effects.add(EndpointStart{run.spec, m_context.pool});
+    m_context.effects.add(StartEndpointRun{run.spec, m_context.pool});
     m_delivery.sendKeepAlives(run);
 }
 
@@ -236,7 +236,7 @@
     const bool failed = result != EndpointResult::Completed;
     m_failureShare += failureSmoothing * ((failed ? 1.0 : 0.0) - m_failureShare);
     if (result == EndpointResult::Refused || reason == Reason::Overloaded) {
-        m_limit.overloaded();
+        m_limit.recordOverload();
     }
     if (failed) {
         return;
@@ -251,7 +251,7 @@
     const std::optional<Duration> uncontended = m_uncontendedTimes.estimate(work, run.spec.size);
     const auto base =
         static_cast<double>(uncontended ? std::max(uncontended->count(), Duration::rep{1}) : service.count());
-    m_limit.completed(base > 0.0 ? static_cast<double>(service.count()) / base : 1.0, concurrentRuns);
+    m_limit.recordCompletion(base > 0.0 ? static_cast<double>(service.count()) / base : 1.0, concurrentRuns);
 }
 
 void RunScheduler::recordStageMetrics(const RunRecord &run)
--- a/src/bergamottide/side/runscheduler.h
+++ b/src/bergamottide/sidecar/runscheduler.h
@@ -3,8 +3,8 @@
 #include "bergamottide/ledger/ledger.h"
 #include "bergamottide/scheduling/concurrencylimit.h"
 #include "bergamottide/scheduling/fairqueue.h"
-#include "bergamottide/scheduling/servicetime.h"
-#include "bergamottide/side/resultdelivery.h"
+#include "bergamottide/scheduling/servicetimes.h"
+#include "bergamottide/sidecar/resultdelivery.h"
 
 #include <cstdint>
 #include <map>
@@ -63,9 +63,9 @@
     void cancelRunning(RunRecord &run, Reason reason);
 
     /*! @brief Appends a piece to the result of a run; cancels the run if its result becomes too large. */
-    void onPiece(const EndpointPiece &event);
+    void onPiece(const EndpointResultPiece &event);
     /*! @brief Ends a run whose call to the endpoint has ended. */
-    void onFinished(const EndpointFinished &event);
+    void onFinished(const EndpointRunEnded &event);
 
     /*! @brief Returns the earliest time at which a queued run can no longer meet its deadline, if any. */
     [[nodiscard]] std::optional<TimePoint> nextInfeasibleAt() const;
--- a/src/bergamottide/side/runtable.cpp
+++ b/src/bergamottide/sidecar/runtable.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/runtable.h"
+#include "bergamottide/sidecar/runtable.h"
 
 #include <algorithm>
 
--- a/src/bergamottide/side/runtable.h
+++ b/src/bergamottide/sidecar/runtable.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bergamottide/side/sideevents.h"
+#include "bergamottide/sidecar/sidecarevents.h"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/bergamottide/side/sidecarcontext.h
+++ b/src/bergamottide/sidecar/sidecarcontext.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "bergamottide/side/effectbuffer.h"
-#include "bergamottide/side/peerfreshness.h"
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/effectbuffer.h"
+#include "bergamottide/sidecar/peerfreshness.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 
 #include <memory>
 
@@ -11,7 +11,7 @@
 /*! @brief State shared by all parts of a sidecar. */
 struct SidecarContext
 {
-    SideIdentity identity;
+    SidecarIdentity identity;
     /*! @brief Active configuration document; null until one has been received. */
     std::shared_ptr<const Document> document;
     /*! @brief Last received instance list; null until one has been received. */
--- a/src/bergamottide/side/sideevents.h
+++ b/src/bergamottide/sidecar/sidecarevents.h
@@ -10,7 +10,7 @@
 namespace bergamottide {
 
 /*! @brief Event: the endpoint has sent a piece of a result. */
-struct EndpointPiece
+struct EndpointResultPiece
 {
     RunId run;
     std::string piece;
@@ -34,7 +34,7 @@
 };
 
 /*! @brief Event: a call to the endpoint has ended. */
-struct EndpointFinished
+struct EndpointRunEnded
 {
     RunId run;
     EndpointResult result{};
@@ -42,13 +42,13 @@
 };
 
 /*! @brief Event: the endpoint has reported its load; the figures lag behind. */
-struct EndpointReport
+struct EndpointLoadReport
 {
     std::uint32_t running{};
     std::uint32_t waiting{};
     std::vector<ModelName> models;
     /*! @brief Highest fencing token that the engine has seen; zero if it reports none. */
-    std::uint64_t fence{};
+    std::uint64_t highestFencingToken{};
 };
 
 /*! @brief Kind of an order to an engine. */
@@ -69,9 +69,9 @@
 };
 
 /*! @brief Effect: send an order to the engine of this sidecar. */
-struct GiveOrder
+struct SendOrder
 {
-    std::uint64_t fence{};
+    std::uint64_t fencingToken{};
     OrderKind kind{};
     ModelName model;
     AdapterName adapter;
@@ -81,34 +81,34 @@
 /*! @brief Event: the engine has answered an order. */
 struct OrderAnswered
 {
-    std::uint64_t fence{};
+    std::uint64_t fencingToken{};
     bool accepted{};
 };
 
 /*! @brief Any event of a sidecar. */
-using SideEvent = std::variant<PeerMessage, PeerUp, PeerDown, EndpointPiece, EndpointFinished, EndpointReport,
-                               OrderAnswered, ConfigChanged, ViewChanged, DrainRequested, Tick>;
+using SidecarEvent = std::variant<PeerMessage, PeerUp, PeerDown, EndpointResultPiece, EndpointRunEnded,
+                                  EndpointLoadReport, OrderAnswered, ConfigChanged, ViewChanged, DrainRequested, Tick>;
 
 /*! @brief Effect: start a run at the endpoint. */
-struct EndpointStart
+struct StartEndpointRun
 {
-    StartRun run;
+    StartRun spec;
     Pool pool;
     /*! @brief Number of tokens already received; the engine resumes after them. */
     std::uint32_t receivedTokens{};
 };
 
 /*! @brief Effect: cancel a run at the endpoint; no further events of it are expected. */
-struct EndpointCancel
+struct CancelEndpointRun
 {
     RunId run;
 };
 
 /*! @brief Any effect of a sidecar. */
-using SideEffect =
-    std::variant<SendMessage, EndpointStart, EndpointCancel, GiveOrder, DrainComplete, LogLine, AuditRecord, Observe>;
+using SidecarEffect = std::variant<SendMessage, StartEndpointRun, CancelEndpointRun, SendOrder, DrainComplete, LogLine,
+                                   AuditRecord, Observe>;
 
 /*! @brief Effects of one event, in order of execution. */
-using SideEffects = std::vector<SideEffect>;
+using SidecarEffects = std::vector<SidecarEffect>;
 
 } // namespace bergamottide
--- a/src/bergamottide/side/sidereducer.cpp
+++ b/src/bergamottide/sidecar/sidecarreducer.cpp
@@ -1,9 +1,9 @@
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 
 #include "bergamottide/orders/orderplanner.h"
-#include "bergamottide/side/drain.h"
-#include "bergamottide/side/loadreporter.h"
-#include "bergamottide/side/runmessagehandler.h"
+#include "bergamottide/sidecar/drain.h"
+#include "bergamottide/sidecar/loadreporter.h"
+#include "bergamottide/sidecar/runmessagehandler.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,9 +12,9 @@
 namespace bergamottide {
 
 /*! @brief Components of a sidecar. */
-struct SideReducer::State
+struct SidecarReducer::State
 {
-    explicit State(SideIdentity identity)
+    explicit State(SidecarIdentity identity)
         : context{std::move(identity)}
         , delivery{context, runs}
         , scheduler{context, runs, ledger, delivery}
@@ -36,9 +36,9 @@
     void on(const PeerMessage &event);
     void on(const PeerUp &event);
     void on(const PeerDown &event);
-    void on(const EndpointPiece &event);
-    void on(const EndpointFinished &event);
-    void on(const EndpointReport &event);
+    void on(const EndpointResultPiece &event);
+    void on(const EndpointRunEnded &event);
+    void on(const EndpointLoadReport &event);
     void on(const OrderAnswered &event);
     void on(const ConfigChanged &event);
     void on(const ViewChanged &event);
@@ -77,14 +77,14 @@
     std::optional<TimePoint> wakeup;
 };
 
-SideReducer::SideReducer(SideIdentity identity)
+SidecarReducer::SidecarReducer(SidecarIdentity identity)
     : m_state{std::make_unique<State>(std::move(identity))}
 {
 }
 
-SideReducer::~SideReducer() = default;
+SidecarReducer::~SidecarReducer() = default;
 
-SideEffects SideReducer::apply(const SideEvent &event, TimePoint now)
+SidecarEffects SidecarReducer::apply(const SidecarEvent &event, TimePoint now)
 {
     m_state->context.now = now;
     m_state->detectPause();
@@ -93,31 +93,31 @@
     return m_state->context.effects.take();
 }
 
-std::optional<TimePoint> SideReducer::nextWakeup() const
+std::optional<TimePoint> SidecarReducer::nextWakeup() const
 {
     return m_state->wakeup;
 }
 
-std::size_t SideReducer::inProgress() const noexcept
+std::size_t SidecarReducer::inProgress() const noexcept
 {
     return m_state->scheduler.queued() + m_state->scheduler.running();
 }
 
-void SideReducer::State::detectPause()
+void SidecarReducer::State::detectPause()
 {
     if (!wakeup || context.now <= *wakeup + context.policy.pauseGap) {
         return;
     }
     context.peers.onResumed();
-    orders.forgetReading(context.now);
+    orders.discardReport(context.now);
     context.pausedSince = *wakeup;
-    context.effects.log(Severity::Warning, Part::Side,
+    context.effects.log(Severity::Warning, Part::Sidecar,
                         "Process resumed after a pause; no run starts until a peer answers a ping.",
                         {{"gap_us", std::to_string((context.now - *wakeup).count())}});
     pingUnconfirmed();
 }
 
-void SideReducer::State::pingUnconfirmed()
+void SidecarReducer::State::pingUnconfirmed()
 {
     for (const InstanceName &peer : context.peers.connectedPeers()) {
         if (!context.peers.isFresh(peer)) {
@@ -126,33 +126,34 @@
     }
 }
 
-void SideReducer::State::planOrders()
+void SidecarReducer::State::planOrders()
 {
     if (context.document && context.view && context.pool.kind == PoolKind::Engine) {
         orders.plan(*context.document, *context.view, context.now);
     }
 }
 
-void SideReducer::State::sendNextOrder()
+void SidecarReducer::State::sendNextOrder()
 {
     // After a pause, or while draining, another process may already control the engine.
     if (context.draining || context.peers.awaitsConfirmation() || context.pool.kind != PoolKind::Engine) {
         return;
     }
-    const std::optional<GiveOrder> order = orders.next(context.now);
+    const std::optional<SendOrder> order = orders.nextOrder(context.now);
     if (!order) {
         return;
     }
     const std::string kind{enumName(order->kind)};
     context.effects.add(*order);
     context.effects.observe(Metric::OrdersTotal, {kind});
-    context.effects.log(Severity::Info, Part::Orders, "Sending an order to the engine.",
-                        {{"kind", kind}, {"model", order->model.text()}, {"fence", std::to_string(order->fence)}});
+    context.effects.log(
+        Severity::Info, Part::Orders, "Sending an order to the engine.",
+        {{"kind", kind}, {"model", order->model.text()}, {"fence", std::to_string(order->fencingToken)}});
     context.effects.add(AuditRecord{AuditKind::Order, order->model.text(), "engine differs from document",
-                                    kind + " fence " + std::to_string(order->fence)});
+                                    kind + " fence " + std::to_string(order->fencingToken)});
 }
 
-void SideReducer::State::finishEvent()
+void SidecarReducer::State::finishEvent()
 {
     scheduler.dispatch();
     sendNextOrder();
@@ -161,7 +162,7 @@
     wakeup = nextTickAt();
 }
 
-TimePoint SideReducer::State::nextTickAt() const
+TimePoint SidecarReducer::State::nextTickAt() const
 {
     TimePoint due = reporter.nextReportAt();
     for (const std::optional<TimePoint> &next : {runs.nextDue(), scheduler.nextInfeasibleAt(), ledger.nextExpiry()}) {
@@ -171,12 +172,12 @@
     return std::max(due, context.now) + Duration{1};
 }
 
-void SideReducer::State::on(const PeerMessage &event)
+void SidecarReducer::State::on(const PeerMessage &event)
 {
     std::visit([this, &event](const auto &message) { onMessage(event.from, message); }, event.message);
 }
 
-void SideReducer::State::on(const PeerUp &event)
+void SidecarReducer::State::on(const PeerUp &event)
 {
     context.peers.connect(event.peer);
     const std::uint64_t version = context.document ? context.document->version : 0;
@@ -187,33 +188,33 @@
     }
 }
 
-void SideReducer::State::on(const PeerDown &event)
+void SidecarReducer::State::on(const PeerDown &event)
 {
     context.peers.disconnect(event.peer);
 }
 
-void SideReducer::State::on(const EndpointPiece &event)
+void SidecarReducer::State::on(const EndpointResultPiece &event)
 {
     scheduler.onPiece(event);
 }
 
-void SideReducer::State::on(const EndpointFinished &event)
+void SidecarReducer::State::on(const EndpointRunEnded &event)
 {
     scheduler.onFinished(event);
 }
 
-void SideReducer::State::on(const EndpointReport &event)
+void SidecarReducer::State::on(const EndpointLoadReport &event)
 {
     reporter.onReport(event);
     orders.onReport(event, context.now);
 }
 
-void SideReducer::State::on(const OrderAnswered &event)
+void SidecarReducer::State::on(const OrderAnswered &event)
 {
     orders.onAnswer(event, context.now);
 }
 
-void SideReducer::State::on(const ConfigChanged &event)
+void SidecarReducer::State::on(const ConfigChanged &event)
 {
     if (!event.document || (context.document && event.document->version < context.document->version)) {
         return;
@@ -228,7 +229,7 @@
     planOrders();
 }
 
-void SideReducer::State::on(const ViewChanged &event)
+void SidecarReducer::State::on(const ViewChanged &event)
 {
     if (!event.view) {
         return;
@@ -239,67 +240,67 @@
     planOrders();
 }
 
-void SideReducer::State::on(const DrainRequested &event)
+void SidecarReducer::State::on(const DrainRequested &event)
 {
     drain.onRequested(event.cause);
 }
 
-void SideReducer::State::on(const Tick &)
+void SidecarReducer::State::on(const Tick &)
 {
     runMessages.onTick();
     pingUnconfirmed();
     context.effects.observe(Metric::LedgerRecords, {}, static_cast<double>(ledger.size()));
 }
 
-void SideReducer::State::onMessage(const InstanceName &from, const OpenRequest &message)
+void SidecarReducer::State::onMessage(const InstanceName &from, const OpenRequest &message)
 {
     atMostOnce.onOpen(from, message);
 }
 
-void SideReducer::State::onMessage(const InstanceName &from, const StartRun &message)
+void SidecarReducer::State::onMessage(const InstanceName &from, const StartRun &message)
 {
     runMessages.onStart(from, message);
 }
 
-void SideReducer::State::onMessage(const InstanceName &from, const CancelRun &message)
+void SidecarReducer::State::onMessage(const InstanceName &from, const CancelRun &message)
 {
     runMessages.onCancel(from, message);
 }
 
-void SideReducer::State::onMessage(const InstanceName &from, const RunAcknowledged &message)
+void SidecarReducer::State::onMessage(const InstanceName &from, const RunAcknowledged &message)
 {
     delivery.acknowledge(message.run, from);
 }
 
-void SideReducer::State::onMessage(const InstanceName &from, const QueryRuns &message)
+void SidecarReducer::State::onMessage(const InstanceName &from, const QueryRuns &message)
 {
     runMessages.onQuery(from, message);
 }
 
-void SideReducer::State::onMessage(const InstanceName &from, const AttachRequest &message)
+void SidecarReducer::State::onMessage(const InstanceName &from, const AttachRequest &message)
 {
     atMostOnce.onAttach(from, message);
 }
 
-void SideReducer::State::onMessage(const InstanceName &from, const SealRequest &message)
+void SidecarReducer::State::onMessage(const InstanceName &from, const SealRequest &message)
 {
     atMostOnce.onSeal(from, message);
 }
 
-void SideReducer::State::onMessage(const InstanceName &from, const Ping &message)
+void SidecarReducer::State::onMessage(const InstanceName &from, const Ping &message)
 {
     context.effects.send(from, Pong{message.sequence});
 }
 
-void SideReducer::State::onMessage(const InstanceName &from, const Pong &message)
+void SidecarReducer::State::onMessage(const InstanceName &from, const Pong &message)
 {
     if (context.peers.confirm(from, message.sequence)) {
-        context.effects.log(Severity::Info, Part::Side,
+        context.effects.log(Severity::Info, Part::Sidecar,
                             "A peer has answered a ping after the pause; runs start again.");
     }
 }
 
-void SideReducer::State::onMessage(const InstanceName &, const Hello &)
+void SidecarReducer::State::onMessage(const InstanceName &, const Hello &)
 {
 }
 
--- a/src/bergamottide/side/sidereducer.h
+++ b/src/bergamottide/sidecar/sidecarreducer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bergamottide/side/sideevents.h"
+#include "bergamottide/sidecar/sidecarevents.h"
 
 #include <cstdint>
 #include <memory>
@@ -9,7 +9,7 @@
 namespace bergamottide {
 
 /*! @brief Identity of a sidecar process. */
-struct SideIdentity
+struct SidecarIdentity
 {
     InstanceName instance;
     RegionName region;
@@ -25,17 +25,17 @@
  *
  * It performs no I/O and reads no clock; the time is passed in with every event.
  */
-class SideReducer
+class SidecarReducer
 {
 public:
     /**
      * @brief Creates a sidecar that refuses every run until it has received a document.
      * @param identity Identity of the sidecar.
      */
-    explicit SideReducer(SideIdentity identity);
-    SideReducer(const SideReducer &) = delete;
-    SideReducer &operator=(const SideReducer &) = delete;
-    ~SideReducer();
+    explicit SidecarReducer(SidecarIdentity identity);
+    SidecarReducer(const SidecarReducer &) = delete;
+    SidecarReducer &operator=(const SidecarReducer &) = delete;
+    ~SidecarReducer();
 
     /**
      * @brief Applies one event.
@@ -43,7 +43,7 @@
      * @param now Current time; never earlier than in a previous call.
      * @return Effects in order of execution.
      */
-    [[nodiscard]] SideEffects apply(const SideEvent &event, TimePoint now);
+    [[nodiscard]] SidecarEffects apply(const SidecarEvent &event, TimePoint now);
 
     /*! @brief Returns the time of the next `Tick`; absent before the first event. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
--- a/src/bergamottide/telemetry/logline.h
+++ b/src/bergamottide/telemetry/logline.h
@@ -28,7 +28,7 @@
 enum class Part : std::uint8_t
 {
     Entry,
-    Side,
+    Sidecar,
     Config,
     Membership,
     Ledger,
--- a/src/daemons/bergamottide-entry.cpp
+++ b/src/daemons/bergamottide-entry.cpp
@@ -30,7 +30,7 @@
     }
     const SystemClock clock;
     Loop loop{clock};
-    EntryApp app{loop, clock, settings, *std::move(keys), drawIncarnation()};
+    EntryApp app{loop, clock, settings, *std::move(keys), randomIncarnation()};
     const SignalWatch signals{loop, [&app] { app.drain("SIGTERM"); },
                               [&app] {
                                   app.reloadTls();
--- a/src/daemons/bergamottide-side.cpp
+++ b/src/daemons/bergamottide-side.cpp
@@ -2,7 +2,7 @@
  * @file
  * @brief Sidecar daemon (role `side`): runs beside one endpoint and schedules its runs.
  */
-#include "bergamottide/app/sideapp.h"
+#include "bergamottide/app/sidecarapp.h"
 #include "bergamottide/app/signalwatch.h"
 #include "bergamottide/app/startup.h"
 
@@ -22,7 +22,7 @@
 {
     const SystemClock clock;
     Loop loop{clock};
-    SideApp app{loop, clock, settings, drawIncarnation()};
+    SidecarApp app{loop, clock, settings, randomIncarnation()};
     const SignalWatch signals{loop, [&app] { app.drain("SIGTERM"); },
                               [] {
                               }};
@@ -43,7 +43,7 @@
     blockSignals();
     gflags::SetUsageMessage("runs beside one endpoint: queues its runs fairly and stores their results");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    const auto settings = loadSettings(FLAGS_settings, FLAGS_set, Role::Side);
+    const auto settings = loadSettings(FLAGS_settings, FLAGS_set, Role::Sidecar);
     if (!settings) {
         return 1;
     }
--- a/src/standin/callstandin.cpp
+++ b/src/standin/callstandin.cpp
@@ -32,7 +32,7 @@
         return;
     }
     if (draw(m_options.refuseShare)) {
-        responder->answer(HttpAnswer{503, {{"x-not-started", "1"}}, ""});
+        responder->respond(HttpResponse{503, {{"x-not-started", "1"}}, ""});
         return;
     }
     auto run = std::make_shared<Run>();
--- a/src/standin/standin.cpp
+++ b/src/standin/standin.cpp
@@ -6,7 +6,7 @@
 
 void answerJson(HttpResponder &responder, int status, std::string body)
 {
-    responder.answer(HttpAnswer{status, {{"content-type", "application/json"}}, std::move(body)});
+    responder.respond(HttpResponse{status, {{"content-type", "application/json"}}, std::move(body)});
 }
 
 } // namespace bergamottide::standin
--- a/src/standin/watchedvalue.cpp
+++ b/src/standin/watchedvalue.cpp
@@ -82,7 +82,7 @@
     waiter->timer = m_loop.at(m_loop.now() + longest, [this, waiter] {
         m_waiters.remove(waiter);
         if (!waiter->gone) {
-            waiter->responder->answer(HttpAnswer{304, {}, ""});
+            waiter->responder->respond(HttpResponse{304, {}, ""});
         }
     });
     m_waiters.push_back(std::move(waiter));
@@ -128,8 +128,8 @@
     if (m_fault == ValueFault::Truncate) {
         body.resize(body.size() / 2);
     }
-    responder.answer(
-        HttpAnswer{200, {{"content-type", m_contentType}, {std::string{digestHeader}, digest}}, std::move(body)});
+    responder.respond(
+        HttpResponse{200, {{"content-type", m_contentType}, {std::string{digestHeader}, digest}}, std::move(body)});
 }
 
 std::uint64_t publishDocument(std::string &value, std::uint64_t)
--- a/src/standin/weightstandin.cpp
+++ b/src/standin/weightstandin.cpp
@@ -27,7 +27,7 @@
     m_last = now;
     if (m_allowance < 1.0) {
         ++m_refused;
-        responder->answer(HttpAnswer{429, {{"retry-after", "1"}}, ""});
+        responder->respond(HttpResponse{429, {{"retry-after", "1"}}, ""});
         return;
     }
     m_allowance -= 1.0;
--- a/test/bergamottide/admission/admission.cpp
+++ b/test/bergamottide/admission/admissioncontrol.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/admission/admission.h"
+#include "bergamottide/admission/admissioncontrol.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -22,7 +22,7 @@
 
     EndpointTable m_table{RegionName{"west"}, ZoneName{"a"}};
     Placement m_placement{m_table, 1};
-    Admission m_admission{m_placement, m_table};
+    AdmissionControl m_admission{m_placement, m_table};
     Pipeline m_pipeline{PipelineName{"answer"}, {{StageName{"generate"}, PoolName{"engines"}}}};
     Workspace m_north{WorkspaceName{"north"}};
     Workspace m_south{WorkspaceName{"south"}};
@@ -36,13 +36,13 @@
         Kind kind;
         kind.value = value;
         const AdmissionQuery query{workspace, m_pipeline, m_model, kind, 0, m_costs, seconds{9}};
-        return m_admission.judge(query, m_policy, 1, m_now);
+        return m_admission.decide(query, m_policy, 1, m_now);
     }
 
     void admitted(const Workspace &workspace)
     {
         const AdmissionQuery query{workspace, m_pipeline, m_model, Kind{}, 0, m_costs, seconds{9}};
-        m_admission.admitted(query);
+        m_admission.requestAdmitted(query);
     }
 
     /*! @brief Applies a load report with a wait of workspace `north` only. */
@@ -59,7 +59,7 @@
         InstanceView view;
         Instance instance;
         instance.name = InstanceName{"engine"};
-        instance.role = Role::Side;
+        instance.role = Role::Sidecar;
         instance.region = RegionName{"west"};
         instance.zone = ZoneName{"a"};
         instance.pool = PoolName{"engines"};
@@ -117,7 +117,7 @@
         }
         CPPUNIT_ASSERT(judge(m_north).reason != Reason::None);
         for (int request = 0; request < 100; ++request) {
-            m_admission.stageLeft(m_north.name, PoolName{"engines"}, seconds{1});
+            m_admission.removePendingStage(m_north.name, PoolName{"engines"}, seconds{1});
         }
         CPPUNIT_ASSERT(judge(m_north).reason == Reason::None);
     }
@@ -132,7 +132,7 @@
         m_south.maxInProgress = 1;
         admitted(m_south);
         CPPUNIT_ASSERT(judge(m_south).reason == Reason::RateLimited);
-        m_admission.ended(m_south.name);
+        m_admission.requestEnded(m_south.name);
         CPPUNIT_ASSERT(judge(m_south).reason == Reason::None);
     }
 };
--- a/test/bergamottide/app/callerport.cpp
+++ b/test/bergamottide/app/callerport.cpp
@@ -17,7 +17,7 @@
 class FakeResponder final : public HttpResponder
 {
 public:
-    void answer(HttpAnswer answer) override
+    void respond(HttpResponse answer) override
     {
         answered = std::move(answer);
     }
@@ -52,7 +52,7 @@
         return unsentBytes;
     }
 
-    HttpAnswer answered{0, {}, {}};
+    HttpResponse answered{0, {}, {}};
     std::string sent;
     bool finished{};
     bool aborted{};
@@ -103,7 +103,7 @@
         submit(request);
         request.headers.back().second = "Bearer other";
         submit(request);
-        CPPUNIT_ASSERT(submitted(0).keyed);
+        CPPUNIT_ASSERT(submitted(0).hasIdempotencyKey);
         CPPUNIT_ASSERT(submitted(0).request == submitted(1).request);
         CPPUNIT_ASSERT(submitted(0).request != submitted(2).request);
     }
@@ -113,7 +113,7 @@
         submit(submission());
         submit(submission());
         CPPUNIT_ASSERT(submitted(0).request != submitted(1).request);
-        CPPUNIT_ASSERT(!submitted(0).keyed);
+        CPPUNIT_ASSERT(!submitted(0).hasIdempotencyKey);
     }
 
     void closedConnectionIsReportedOnce()
@@ -132,7 +132,7 @@
         const auto responder = submit(submission({{"prefer", "respond-async"}}));
         CPPUNIT_ASSERT(submitted(0).wantsTicket);
         const Ticket ticket{submitted(0).request, WorkspaceName{"audit"}, InstanceName{"side"}, {}, Serial{4}};
-        m_port.carryOut(CallerTicket{submitted(0).call, ticket});
+        m_port.carryOut(SendTicket{submitted(0).call, ticket});
         CPPUNIT_ASSERT_EQUAL(202, responder->answered.status);
         const auto body = nlohmann::json::parse(responder->answered.body);
         CPPUNIT_ASSERT(*m_tickets.read(body.value("ticket", "")) == ticket);
@@ -144,8 +144,8 @@
     void streamedPiecesHaveOffsets()
     {
         const auto responder = submit(submission({{"accept", "text/event-stream"}}));
-        m_port.carryOut(CallerPiece{submitted(0).call, "one "});
-        m_port.carryOut(CallerPiece{submitted(0).call, "two"});
+        m_port.carryOut(SendResultPiece{submitted(0).call, "one "});
+        m_port.carryOut(SendResultPiece{submitted(0).call, "two"});
         m_port.carryOut(answerTo(0, " end"));
         CPPUNIT_ASSERT(responder->finished);
         CPPUNIT_ASSERT(responder->sent.find(R"({"offset":4,"text":"two"})") != std::string::npos);
@@ -166,7 +166,7 @@
     {
         const auto responder = submit(submission({{"accept", "text/event-stream"}}));
         responder->unsentBytes = 100u << 20;
-        m_port.carryOut(CallerPiece{submitted(0).call, "piece"});
+        m_port.carryOut(SendResultPiece{submitted(0).call, "piece"});
         CPPUNIT_ASSERT(std::holds_alternative<CallerGone>(m_events.back()));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_port.waitingCalls());
     }
@@ -177,7 +177,7 @@
         CPPUNIT_ASSERT_EQUAL(429, httpStatus(Outcome::NotRun, Reason::Overloaded));
         CPPUNIT_ASSERT_EQUAL(503, httpStatus(Outcome::Unknown, Reason::ConnectionLost));
         CPPUNIT_ASSERT_EQUAL(504, httpStatus(Outcome::Incomplete, Reason::DeadlineExceeded));
-        CallerAnswer answer;
+        SendAnswer answer;
         answer.outcome = Outcome::NotRun;
         answer.reason = Reason::QueueFull;
         answer.retryAfter = std::chrono::milliseconds{1200};
@@ -205,9 +205,9 @@
         return std::get<CallerSubmitted>(m_events.at(index));
     }
 
-    [[nodiscard]] CallerAnswer answerTo(std::size_t index, std::string body) const
+    [[nodiscard]] SendAnswer answerTo(std::size_t index, std::string body) const
     {
-        CallerAnswer answer;
+        SendAnswer answer;
         answer.call = submitted(index).call;
         answer.outcome = Outcome::Completed;
         answer.body = std::move(body);
--- a/test/bergamottide/app/peerwire.cpp
+++ b/test/bergamottide/app/peerwire.cpp
@@ -26,21 +26,21 @@
                                      7,
                                      {{InstanceName{"engine-1"}, 1000}},
                                      {{InstanceName{"engine-2"}, {{digest, 13'300}, {2, 40}}, milliseconds{300}}}});
-        const auto read = peerwire::decodeHeartbeat(peerwire::write(heartbeat));
+        const auto read = peerwire::decodeHeartbeat(peerwire::encode(heartbeat));
         CPPUNIT_ASSERT(read.ok());
         const engines::EngineReport &report = read->engines.at(0);
         CPPUNIT_ASSERT_EQUAL(std::string{"b"}, report.origin.text());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, report.incarnation);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, report.sequence);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, report.work.at(0).tokens);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, report.pendingPrefills.at(0).tokens);
         CPPUNIT_ASSERT_EQUAL(digest, report.placed.at(0).chain.at(0).digest);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{40}, report.placed.at(0).chain.at(1).tokens);
-        CPPUNIT_ASSERT(report.placed.at(0).readIn == milliseconds{300});
+        CPPUNIT_ASSERT(report.placed.at(0).timeUntilCached == milliseconds{300});
     }
 
     void heartbeatWithoutEngineReportsIsAccepted()
     {
-        std::string text = peerwire::write(Heartbeat{});
+        std::string text = peerwire::encode(Heartbeat{});
         const std::string field = R"("engines":[],)";
         text.erase(text.find(field), field.size());
         const auto read = peerwire::decodeHeartbeat(text);
@@ -50,7 +50,7 @@
 
     void heartbeatWithWrongFieldTypeIsRejected()
     {
-        std::string text = peerwire::write(Heartbeat{});
+        std::string text = peerwire::encode(Heartbeat{});
         const std::string field = R"("engines":[])";
         text.replace(text.find(field), field.size(), R"("engines":[{"origin":7}])");
         CPPUNIT_ASSERT(!peerwire::decodeHeartbeat(text).ok());
--- a/test/bergamottide/config/settings.cpp
+++ b/test/bergamottide/config/settings.cpp
@@ -47,7 +47,7 @@
     {
         const SettingsResult result = parseSettings(side);
         CPPUNIT_ASSERT_EQUAL(std::string{}, issuesOf(result));
-        CPPUNIT_ASSERT(result.settings->role == Role::Side);
+        CPPUNIT_ASSERT(result.settings->role == Role::Sidecar);
         CPPUNIT_ASSERT_EQUAL(std::string{"engines"}, result.settings->pool.text());
         CPPUNIT_ASSERT(result.settings->logLevel == Severity::Info);
     }
--- a/test/bergamottide/endpoint/endpointadapter.cpp
+++ b/test/bergamottide/endpoint/endpointadapter.cpp
@@ -30,18 +30,18 @@
     {
     }
 
-    static EndpointStart makeStart(std::uint32_t tokens, Serial serial = noSerial)
+    static StartEndpointRun makeStart(std::uint32_t tokens, Serial serial = noSerial)
     {
-        EndpointStart start;
-        start.run.run = RunId{RequestId{1, 2}, 3, 1};
-        start.run.serial = serial;
-        start.run.stage = StageName{"generate"};
-        start.run.maxTokens = tokens;
-        start.run.body = "{}";
+        StartEndpointRun start;
+        start.spec.run = RunId{RequestId{1, 2}, 3, 1};
+        start.spec.serial = serial;
+        start.spec.stage = StageName{"generate"};
+        start.spec.maxTokens = tokens;
+        start.spec.body = "{}";
         return start;
     }
 
-    EndpointFinished run(const EndpointStart &start)
+    EndpointRunEnded run(const StartEndpointRun &start)
     {
         m_adapter->start(start);
         waitUntilFinished();
@@ -83,7 +83,7 @@
         return m_tokens;
     }
 
-    [[nodiscard]] const std::optional<EndpointFinished> &finished() const
+    [[nodiscard]] const std::optional<EndpointRunEnded> &finished() const
     {
         return m_finished;
     }
@@ -104,17 +104,17 @@
     EndpointHooks hooks()
     {
         EndpointHooks hooks;
-        hooks.piece = [this](const EndpointPiece &piece) {
+        hooks.piece = [this](const EndpointResultPiece &piece) {
             m_text += piece.piece;
             m_tokens += piece.tokens;
         };
-        hooks.finished = [this](const EndpointFinished &finished) {
+        hooks.finished = [this](const EndpointRunEnded &finished) {
             CPPUNIT_ASSERT(!m_finished);
             m_finished = finished;
         };
-        hooks.reported = [](const EndpointReport &) {
+        hooks.loadReported = [](const EndpointLoadReport &) {
         };
-        hooks.ordered = [this](const OrderAnswered &answered) {
+        hooks.orderAnswered = [this](const OrderAnswered &answered) {
             m_orders.push_back(answered);
         };
         return hooks;
@@ -124,7 +124,7 @@
     Loop m_loop{m_clock};
     std::string m_text;
     std::uint32_t m_tokens{};
-    std::optional<EndpointFinished> m_finished;
+    std::optional<EndpointRunEnded> m_finished;
     std::vector<OrderAnswered> m_orders;
     std::unique_ptr<EndpointAdapter> m_adapter;
 };
@@ -154,11 +154,11 @@
 };
 
 /*! @brief Runs one call against a server that sends the scripted bytes. */
-EndpointFinished runAgainstScript(PoolKind kind, RawScript script, std::size_t *sent = nullptr)
+EndpointRunEnded runAgainstScript(PoolKind kind, RawScript script, std::size_t *sent = nullptr)
 {
     const RawServer server{std::move(script)};
     AdapterFixture fixture{server.address(), kind};
-    const EndpointFinished finished = fixture.run(AdapterFixture::makeStart(8));
+    const EndpointRunEnded finished = fixture.run(AdapterFixture::makeStart(8));
     if (sent != nullptr) {
         *sent = server.sent();
     }
@@ -299,10 +299,10 @@
     {
         EngineFixture engine{{}};
         AdapterFixture &fixture = engine.fixture();
-        const EndpointStart start = AdapterFixture::makeStart(8);
+        const StartEndpointRun start = AdapterFixture::makeStart(8);
         fixture.adapter().start(start);
         fixture.runLoop(2);
-        fixture.adapter().cancel(start.run.run);
+        fixture.adapter().cancel(start.spec.run);
         fixture.runLoop(60);
         CPPUNIT_ASSERT(!fixture.finished());
     }
@@ -312,7 +312,7 @@
         EngineFixture engine{{}};
         AdapterFixture &fixture = engine.fixture();
         for (const std::uint64_t fence : {5U, 4U}) {
-            fixture.adapter().order(GiveOrder{fence, OrderKind::LoadModel, ModelName{"a"}, {}, {}});
+            fixture.adapter().sendOrder(SendOrder{fence, OrderKind::LoadModel, ModelName{"a"}, {}, {}});
             for (int round = 0; fixture.orders().size() < 6 - fence && round < 1000; ++round) {
                 fixture.runLoop(1);
             }
--- a/test/bergamottide/engines/enginetable.cpp
+++ b/test/bergamottide/engines/enginetable.cpp
@@ -74,23 +74,23 @@
 
     void reportReplacesPendingTokensOfPeer()
     {
-        m_table.told({InstanceName{"peer"}, 1, 1, {{InstanceName{"a"}, 1000}}, {}}, m_now);
+        m_table.applyReport({InstanceName{"peer"}, 1, 1, {{InstanceName{"a"}, 1000}}, {}}, m_now);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1000.0, m_table.find(InstanceName{"a"})->backlog.totalTokens(1.0, m_now), 1.0);
-        m_table.told({InstanceName{"peer"}, 1, 2, {{InstanceName{"b"}, 10}}, {}}, m_now);
+        m_table.applyReport({InstanceName{"peer"}, 1, 2, {{InstanceName{"b"}, 10}}, {}}, m_now);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, m_table.find(InstanceName{"a"})->backlog.totalTokens(1.0, m_now), 1.0);
     }
 
     void ignoresOutdatedReport()
     {
-        m_table.told({InstanceName{"peer"}, 1, 2, {{InstanceName{"a"}, 1000}}, {}}, m_now);
-        m_table.told({InstanceName{"peer"}, 1, 1, {}, {}}, m_now);
+        m_table.applyReport({InstanceName{"peer"}, 1, 2, {{InstanceName{"a"}, 1000}}, {}}, m_now);
+        m_table.applyReport({InstanceName{"peer"}, 1, 1, {}, {}}, m_now);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1000.0, m_table.find(InstanceName{"a"})->backlog.totalTokens(1.0, m_now), 1.0);
     }
 
     void acceptsReportsOfRestartedPeer()
     {
-        m_table.told({InstanceName{"peer"}, 1, 900, {}, {}}, m_now);
-        m_table.told({InstanceName{"peer"}, 2, 1, {{InstanceName{"a"}, 1000}}, {}}, m_now);
+        m_table.applyReport({InstanceName{"peer"}, 1, 900, {}, {}}, m_now);
+        m_table.applyReport({InstanceName{"peer"}, 2, 1, {{InstanceName{"a"}, 1000}}, {}}, m_now);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1000.0, m_table.find(InstanceName{"a"})->backlog.totalTokens(1.0, m_now), 1.0);
     }
 
@@ -107,8 +107,8 @@
     {
         m_table.setEngines({listing("b", 1)});
         CPPUNIT_ASSERT(m_table.find(InstanceName{"a"}) == nullptr);
-        m_table.told({InstanceName{"peer"}, 1, 1, {{InstanceName{"a"}, 1000}}, {{InstanceName{"a"}, chain({"s"}), {}}}},
-                     m_now);
+        m_table.applyReport(
+            {InstanceName{"peer"}, 1, 1, {{InstanceName{"a"}, 1000}}, {{InstanceName{"a"}, chain({"s"}), {}}}}, m_now);
         CPPUNIT_ASSERT(m_table.find(InstanceName{"a"}) == nullptr);
     }
 
@@ -120,31 +120,31 @@
             setUp();
             send(engine, longPrompt);
             m_now += milliseconds{1};
-            m_table.began(GenerationNumber{1}, m_now);
+            m_table.recordFirstEvent(GenerationNumber{1}, m_now);
             const auto choice = pick(chainOf("m", {{"s", 10'000}, {"y", 100}}));
             CPPUNIT_ASSERT_EQUAL(std::string{engine}, choice->engine.text());
-            CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, choice->toRead);
+            CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, choice->prefillTokens);
         }
     }
 
     void promptAvoidsBusyEngineThatCachesItsPrefix()
     {
         send("a", chainOf("m", {{"s", 10'000}, {"x", 100}}));
-        m_table.began(GenerationNumber{1}, m_now);
-        m_table.told({InstanceName{"peer"}, 1, 1, {{InstanceName{"a"}, 200'000}}, {}}, m_now);
+        m_table.recordFirstEvent(GenerationNumber{1}, m_now);
+        m_table.applyReport({InstanceName{"peer"}, 1, 1, {{InstanceName{"a"}, 200'000}}, {}}, m_now);
         const auto withoutFetch = pick(chainOf("m", {{"s", 10'000}, {"y", 100}}));
         CPPUNIT_ASSERT_EQUAL(std::string{"b"}, withoutFetch->engine.text());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'100}, withoutFetch->toRead);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10'100}, withoutFetch->prefillTokens);
         const auto withFetch = pick(chainOf("m", {{"s", 10'000}, {"y", 100}}), 2e6);
         CPPUNIT_ASSERT_EQUAL(std::string{"b"}, withFetch->engine.text());
         CPPUNIT_ASSERT_EQUAL(std::string{"a"}, withFetch->fetchFrom.text());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, withFetch->toRead);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, withFetch->prefillTokens);
     }
 
     void excludedEngineIsNotChosen()
     {
         const PromptChain prompt = chain({"s"});
-        const GenerationNeeds query{PoolName{"p"}, prompt, "1", {}, 0, 0.0};
+        const GenerationQuery query{PoolName{"p"}, prompt, "1", {}, 0, 0.0};
         const auto choice =
             pickEngine(m_table, {{InstanceName{"a"}, {}, 0, true}, {InstanceName{"b"}, {}, 0, false}}, query, m_now);
         CPPUNIT_ASSERT_EQUAL(std::string{"b"}, choice->engine.text());
@@ -180,13 +180,13 @@
 
     void send(const std::string &engine, const PromptChain &prompt)
     {
-        m_table.sent({GenerationNumber{1}, InstanceName{engine}, prompt, tokensOf(prompt), 0.0, milliseconds{100}},
-                     m_now);
+        m_table.recordSent(
+            {GenerationNumber{1}, InstanceName{engine}, prompt, tokensOf(prompt), 0.0, milliseconds{100}}, m_now);
     }
 
     std::optional<EngineChoice> pick(const PromptChain &prompt, double fetchRate = 0.0)
     {
-        const GenerationNeeds query{PoolName{"p"}, prompt, "1", {}, 0, fetchRate};
+        const GenerationQuery query{PoolName{"p"}, prompt, "1", {}, 0, fetchRate};
         return pickEngine(m_table, {{InstanceName{"a"}, {}, 0, false}, {InstanceName{"b"}, {}, 0, false}}, query,
                           m_now);
     }
--- a/test/bergamottide/entry/entryfixture.h
+++ b/test/bergamottide/entry/entryfixture.h
@@ -52,7 +52,7 @@
     for (const auto &[name, pool] : fixtureSidecars) {
         Instance instance;
         instance.name = InstanceName{name};
-        instance.role = Role::Side;
+        instance.role = Role::Sidecar;
         instance.region = RegionName{"west"};
         instance.zone = ZoneName{name.back() == '1' ? "a" : "b"};
         instance.pool = PoolName{pool};
@@ -166,7 +166,7 @@
         finished.state = RunState::Completed;
         finished.length = result.size();
         finished.digest = XXH3_64bits(result.data(), result.size());
-        finished.service = std::chrono::milliseconds{20};
+        finished.serviceTime = std::chrono::milliseconds{20};
         return finished;
     }
 
--- a/test/bergamottide/entry/entryreducer.cpp
+++ b/test/bergamottide/entry/entryreducer.cpp
@@ -33,14 +33,14 @@
         const auto second = fixture.sent<StartRun>().at(0);
         CPPUNIT_ASSERT_EQUAL(StageName{"generate"}, second.second.stage);
         CPPUNIT_ASSERT_EQUAL(std::string{"body"}, second.second.body);
-        CPPUNIT_ASSERT_EQUAL(std::string{"vector"}, second.second.previous);
+        CPPUNIT_ASSERT_EQUAL(std::string{"vector"}, second.second.previousResult);
         fixture.complete(second.first, second.second.run, "text");
-        const auto answer = fixture.effect<CallerAnswer>();
+        const auto answer = fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Completed);
         CPPUNIT_ASSERT_EQUAL(std::string{"text"}, answer->body);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.entry.inProgress());
         fixture.receive(second.first, EntryFixture::completed(second.second.run, "text"));
-        CPPUNIT_ASSERT(!fixture.effect<CallerAnswer>());
+        CPPUNIT_ASSERT(!fixture.effect<SendAnswer>());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.sent<RunAcknowledged>().size());
     }
 
@@ -55,7 +55,7 @@
         fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 0, "abc", 1});
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
         fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 2, "cd", 1});
-        CPPUNIT_ASSERT_EQUAL(std::string{"abcdef"}, fixture.sent<StartRun>().at(0).second.previous);
+        CPPUNIT_ASSERT_EQUAL(std::string{"abcdef"}, fixture.sent<StartRun>().at(0).second.previousResult);
     }
 
     void dropResultOfAnotherRun()
@@ -84,11 +84,11 @@
         const auto [sidecar, start] = fixture.sent<StartRun>().at(0);
         CPPUNIT_ASSERT(start.streaming);
         fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 3, "def", 1});
-        CPPUNIT_ASSERT(!fixture.effect<CallerPiece>());
+        CPPUNIT_ASSERT(!fixture.effect<SendResultPiece>());
         fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 0, "abc", 1});
-        CPPUNIT_ASSERT_EQUAL(std::string{"abcdef"}, fixture.effect<CallerPiece>()->piece);
+        CPPUNIT_ASSERT_EQUAL(std::string{"abcdef"}, fixture.effect<SendResultPiece>()->piece);
         fixture.receive(sidecar, EntryFixture::completed(start.run, "abcdef"));
-        CPPUNIT_ASSERT_EQUAL(std::string{}, fixture.effect<CallerAnswer>()->body);
+        CPPUNIT_ASSERT_EQUAL(std::string{}, fixture.effect<SendAnswer>()->body);
     }
 
     void refuseBadInputNamingItsField()
@@ -96,7 +96,7 @@
         EntryFixture fixture;
         const auto refuse = [&fixture](const CallerSubmitted &submitted, Reason reason, const std::string &field) {
             fixture.apply(submitted);
-            const auto answer = fixture.effect<CallerAnswer>();
+            const auto answer = fixture.effect<SendAnswer>();
             CPPUNIT_ASSERT(answer && answer->reason == reason && answer->outcome == Outcome::NotRun);
             CPPUNIT_ASSERT_EQUAL(field, answer->field);
             CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
@@ -128,7 +128,7 @@
         const EntryEffects effects = entry.apply(EntryFixture::submission(1), TimePoint{std::chrono::seconds{1}});
         bool refused = false;
         for (const EntryEffect &effect : effects) {
-            const auto *answer = std::get_if<CallerAnswer>(&effect);
+            const auto *answer = std::get_if<SendAnswer>(&effect);
             refused = refused || (answer && answer->reason == Reason::StaleView && answer->outcome == Outcome::NotRun);
         }
         CPPUNIT_ASSERT(refused);
@@ -155,12 +155,12 @@
         fixture.receive(first.first, EntryFixture::refused(first.second.run, Reason::Draining));
         const auto second = fixture.sent<StartRun>().at(0);
         fixture.receive(second.first, EntryFixture::refused(second.second.run, Reason::Draining));
-        CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->outcome == Outcome::NotRun);
+        CPPUNIT_ASSERT(fixture.effect<SendAnswer>()->outcome == Outcome::NotRun);
 
         EntryFixture other;
         other.apply(EntryFixture::submission(1));
         other.advanceClock(std::chrono::seconds{9});
-        const auto answer = other.effect<CallerAnswer>();
+        const auto answer = other.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Incomplete);
     }
 
@@ -171,7 +171,7 @@
         const auto [sidecar, start] = fixture.sent<StartRun>().at(0);
         fixture.apply(CallerGone{CallId{1}});
         CPPUNIT_ASSERT(fixture.sent<CancelRun>().at(0).second.run == start.run);
-        CPPUNIT_ASSERT(!fixture.effect<CallerAnswer>());
+        CPPUNIT_ASSERT(!fixture.effect<SendAnswer>());
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.entry.inProgress());
     }
 };
