--- a/test/bergamottide/entry/fetches.cpp
+++ b/test/bergamottide/entry/fetches.cpp
@@ -19,9 +19,9 @@
     return RequestState{request, ticket.incarnation, ticket.serial, state, run};
 }
 
-CallerFetched fetchFrom(std::uint64_t offset)
+FetchRequested fetchFrom(std::uint64_t offset)
 {
-    return CallerFetched{CallId{9}, "key-north", ticket, offset, false, std::chrono::seconds{2}};
+    return FetchRequested{CallId{9}, "key-north", ticket, offset, false, std::chrono::seconds{2}};
 }
 
 } // namespace
@@ -47,7 +47,7 @@
         fixture.receive(home, stateOf(LedgerState::Finished));
         fixture.receive(home, RunProgress{run, RunState::Completed, 2, "cdef", 0});
         fixture.receive(home, EntryFixture::completed(run, "abcdef"));
-        const auto answer = fixture.effect<CallerAnswer>();
+        const auto answer = fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Completed);
         CPPUNIT_ASSERT_EQUAL(std::string{"ef"}, answer->body);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.entry.inProgress());
@@ -56,10 +56,10 @@
     void refuseTicketOfAnotherWorkspace()
     {
         EntryFixture fixture;
-        CallerFetched fetched = fetchFrom(0);
+        FetchRequested fetched = fetchFrom(0);
         fetched.keyDigest = "key-south";
         fixture.apply(fetched);
-        CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->reason == Reason::UnknownTicket);
+        CPPUNIT_ASSERT(fixture.effect<SendAnswer>()->reason == Reason::UnknownTicket);
         CPPUNIT_ASSERT(fixture.sent<AttachRequest>().empty());
     }
 
@@ -69,9 +69,9 @@
         fixture.apply(fetchFrom(0));
         fixture.advanceClock(std::chrono::seconds{1});
         CPPUNIT_ASSERT(!fixture.sent<AttachRequest>().empty());
-        CPPUNIT_ASSERT(!fixture.effect<CallerAnswer>());
+        CPPUNIT_ASSERT(!fixture.effect<SendAnswer>());
         fixture.advanceClock(std::chrono::seconds{1});
-        CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(fixture.effect<SendAnswer>()->outcome == Outcome::Unknown);
     }
 
     void reportSealedAndUnknownSerials()
@@ -79,30 +79,30 @@
         EntryFixture fixture;
         fixture.apply(fetchFrom(0));
         fixture.receive(home, stateOf(LedgerState::Sealed));
-        CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->outcome == Outcome::Incomplete);
+        CPPUNIT_ASSERT(fixture.effect<SendAnswer>()->outcome == Outcome::Incomplete);
         fixture.apply(fetchFrom(0));
         fixture.receive(home, RequestState{request, Incarnation{99}, noSerial, LedgerState::Absent, {}});
-        const auto answer = fixture.effect<CallerAnswer>();
+        const auto answer = fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer->outcome == Outcome::Unknown && answer->reason == Reason::WrongIncarnation);
     }
 
     void cancelSealsBeforeAnswering()
     {
         EntryFixture fixture;
-        fixture.apply(CallerCanceled{CallId{9}, "key-north", ticket});
+        fixture.apply(CancelRequested{CallId{9}, "key-north", ticket});
         CPPUNIT_ASSERT(fixture.sent<SealRequest>().at(0).second.serial == ticket.serial);
-        CPPUNIT_ASSERT(!fixture.effect<CallerAnswer>());
+        CPPUNIT_ASSERT(!fixture.effect<SendAnswer>());
         fixture.receive(home, stateOf(LedgerState::Sealed));
-        const auto answer = fixture.effect<CallerAnswer>();
+        const auto answer = fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer->outcome == Outcome::Incomplete && answer->reason == Reason::Canceled);
     }
 
     void cancelOfRunningRequestReportsUnknown()
     {
         EntryFixture fixture;
-        fixture.apply(CallerCanceled{CallId{9}, "key-north", ticket});
+        fixture.apply(CancelRequested{CallId{9}, "key-north", ticket});
         fixture.receive(home, stateOf(LedgerState::Running));
-        CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(fixture.effect<SendAnswer>()->outcome == Outcome::Unknown);
     }
 
     void cancelEndsRequestInProgressHere()
@@ -113,11 +113,11 @@
         fixture.receive(sidecar, RequestOpened{request, ticket.incarnation, ticket.serial, LedgerState::Opened});
         Ticket own = ticket;
         own.home = sidecar;
-        fixture.apply(CallerCanceled{CallId{9}, "key-north", own});
+        fixture.apply(CancelRequested{CallId{9}, "key-north", own});
         fixture.receive(sidecar, stateOf(LedgerState::Sealed));
         int answers = 0;
         for (const EntryEffect &effect : fixture.effects) {
-            const auto *answer = std::get_if<CallerAnswer>(&effect);
+            const auto *answer = std::get_if<SendAnswer>(&effect);
             answers += answer && answer->outcome == Outcome::Incomplete && answer->reason == Reason::Canceled ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(2, answers);
--- a/test/bergamottide/entry/homeclient.cpp
+++ b/test/bergamottide/entry/homeclient.cpp
@@ -74,7 +74,7 @@
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
         const InstanceName home = fixture.sent<OpenRequest>().at(0).first;
         fixture.receive(home, RequestOpened{{1, 1}, homeIncarnation, homeSerial, LedgerState::Opened});
-        const auto ticket = fixture.effect<CallerTicket>();
+        const auto ticket = fixture.effect<SendTicket>();
         CPPUNIT_ASSERT(ticket && ticket->ticket.serial == homeSerial && ticket->ticket.home == home);
         const auto [encoder, encode] = fixture.sent<StartRun>().at(0);
         CPPUNIT_ASSERT(encode.serial == noSerial);
@@ -83,7 +83,7 @@
         CPPUNIT_ASSERT_EQUAL(home, sidecar);
         CPPUNIT_ASSERT(commit.serial == homeSerial && commit.incarnation == homeIncarnation);
         fixture.complete(home, commit.run, "ordered");
-        const auto answer = fixture.effect<CallerAnswer>();
+        const auto answer = fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Completed && answer->ticket == ticket->ticket);
     }
 
@@ -107,7 +107,7 @@
         fixture.receive(first, RequestOpened{{1, 1}, homeIncarnation, homeSerial, LedgerState::Opened});
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
         fixture.receive(second, RequestOpened{{1, 1}, Incarnation{42}, homeSerial, LedgerState::Opened});
-        CPPUNIT_ASSERT_EQUAL(second, fixture.effect<CallerTicket>()->ticket.home);
+        CPPUNIT_ASSERT_EQUAL(second, fixture.effect<SendTicket>()->ticket.home);
         fixture.apply(PeerDown{second});
         CPPUNIT_ASSERT(fixture.sent<OpenRequest>().empty());
     }
@@ -116,13 +116,13 @@
     {
         EntryFixture fixture;
         CallerSubmitted submitted = EntryFixture::submission(1, "order");
-        submitted.keyed = true;
+        submitted.hasIdempotencyKey = true;
         fixture.apply(submitted);
         const InstanceName home = fixture.sent<OpenRequest>().at(0).first;
-        CPPUNIT_ASSERT(fixture.sent<OpenRequest>().at(0).second.keyed);
+        CPPUNIT_ASSERT(fixture.sent<OpenRequest>().at(0).second.hasIdempotencyKey);
         fixture.receive(home, OpenRefused{{1, 1}, Reason::Warming, std::chrono::seconds{3}});
         CPPUNIT_ASSERT(fixture.sent<OpenRequest>().empty());
-        const auto answer = fixture.effect<CallerAnswer>();
+        const auto answer = fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer && answer->reason == Reason::Warming && answer->outcome == Outcome::Unknown);
         CPPUNIT_ASSERT(answer->retryAfter == std::chrono::seconds{3});
     }
@@ -135,7 +135,7 @@
         failed.state = RunState::Failed;
         order.fixture.receive(order.home, failed);
         CPPUNIT_ASSERT(order.fixture.sent<StartRun>().empty());
-        CPPUNIT_ASSERT(order.fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(order.fixture.effect<SendAnswer>()->outcome == Outcome::Unknown);
     }
 
     void sealBeforeReportingIncomplete()
@@ -143,10 +143,10 @@
         OpenedRequest order;
         order.reachLastStage();
         order.fixture.receive(order.home, EntryFixture::refused(order.commit.run, Reason::QueueFull));
-        CPPUNIT_ASSERT(!order.fixture.effect<CallerAnswer>());
+        CPPUNIT_ASSERT(!order.fixture.effect<SendAnswer>());
         CPPUNIT_ASSERT(order.fixture.sent<SealRequest>().at(0).second.serial == homeSerial);
         order.fixture.receive(order.home, stateOf(order.id, LedgerState::Sealed));
-        const auto answer = order.fixture.effect<CallerAnswer>();
+        const auto answer = order.fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Incomplete && answer->reason == Reason::QueueFull);
     }
 
@@ -156,7 +156,7 @@
         order.reachLastStage();
         order.fixture.receive(order.home, EntryFixture::refused(order.commit.run, Reason::QueueFull));
         order.fixture.advanceClock(Policy{}.progressTimeout);
-        CPPUNIT_ASSERT(order.fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(order.fixture.effect<SendAnswer>()->outcome == Outcome::Unknown);
     }
 
     void reportNotRunWhenSealedBeforeAnyStage()
@@ -171,7 +171,7 @@
             }
         }
         order.fixture.receive(order.home, stateOf(order.id, LedgerState::Sealed));
-        CPPUNIT_ASSERT(order.fixture.effect<CallerAnswer>()->outcome == Outcome::NotRun);
+        CPPUNIT_ASSERT(order.fixture.effect<SendAnswer>()->outcome == Outcome::NotRun);
     }
 
     void reportUnknownWhenHomeRestartedAfterDispatch()
@@ -179,12 +179,12 @@
         OpenedRequest order;
         order.reachLastStage();
         order.fixture.receive(order.home, EntryFixture::refused(order.commit.run, Reason::WrongIncarnation));
-        CPPUNIT_ASSERT(order.fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(order.fixture.effect<SendAnswer>()->outcome == Outcome::Unknown);
 
         OpenedRequest other;
         other.reachLastStage();
         other.fixture.receive(other.home, RequestState{other.id, Incarnation{99}, noSerial, LedgerState::Absent, {}});
-        CPPUNIT_ASSERT(other.fixture.effect<CallerAnswer>()->outcome == Outcome::Unknown);
+        CPPUNIT_ASSERT(other.fixture.effect<SendAnswer>()->outcome == Outcome::Unknown);
     }
 
     void repeatLostStartWithSameSerial()
@@ -207,7 +207,7 @@
         CPPUNIT_ASSERT(order.fixture.sent<CancelRun>().empty());
         order.reachLastStage();
         order.fixture.complete(order.home, order.commit.run, "ordered");
-        CPPUNIT_ASSERT(!order.fixture.effect<CallerAnswer>());
+        CPPUNIT_ASSERT(!order.fixture.effect<SendAnswer>());
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, order.fixture.entry.inProgress());
     }
 
@@ -217,11 +217,11 @@
         CallerSubmitted again = EntryFixture::submission(1, "order");
         again.call = CallId{2};
         order.fixture.apply(again);
-        const auto answer = order.fixture.effect<CallerAnswer>();
+        const auto answer = order.fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer && answer->reason == Reason::DuplicateRequest && answer->outcome == Outcome::Unknown);
         again.ticket = Ticket{order.id, WorkspaceName{"north"}, order.home, homeIncarnation, homeSerial};
         order.fixture.apply(again);
-        CPPUNIT_ASSERT(!order.fixture.effect<CallerAnswer>());
+        CPPUNIT_ASSERT(!order.fixture.effect<SendAnswer>());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, order.fixture.sent<AttachRequest>().size());
     }
 
@@ -244,7 +244,7 @@
     {
         EntryFixture fixture;
         CallerSubmitted submitted = EntryFixture::submission(1, "order");
-        submitted.keyed = true;
+        submitted.hasIdempotencyKey = true;
         fixture.apply(submitted);
         const InstanceName home = fixture.sent<OpenRequest>().at(0).first;
         fixture.receive(home, RequestOpened{{1, 1}, homeIncarnation, homeSerial, LedgerState::Running});
@@ -254,7 +254,7 @@
         state.run = run;
         fixture.receive(home, state);
         fixture.complete(home, run, "ordered");
-        const auto answer = fixture.effect<CallerAnswer>();
+        const auto answer = fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer && answer->outcome == Outcome::Completed);
         CPPUNIT_ASSERT_EQUAL(std::string{"ordered"}, answer->body);
     }
--- a/test/bergamottide/entry/recovery.cpp
+++ b/test/bergamottide/entry/recovery.cpp
@@ -77,7 +77,7 @@
         fixture.receive(sidecar, RunStates{Incarnation{1}, {{start.run, RunState::Running}}});
         fixture.receive(sidecar, RunProgress{start.run, RunState::Running, 3, "def", 1});
         fixture.receive(sidecar, EntryFixture::completed(start.run, "abcdef"));
-        CPPUNIT_ASSERT_EQUAL(std::string{"abcdef"}, fixture.sent<StartRun>().at(0).second.previous);
+        CPPUNIT_ASSERT_EQUAL(std::string{"abcdef"}, fixture.sent<StartRun>().at(0).second.previousResult);
     }
 
     void retryRunUnknownToSidecar()
@@ -128,7 +128,7 @@
             fixture.receive(sidecar, failed);
             retries += fixture.metricSum(Metric::RetriesTotal);
         }
-        CPPUNIT_ASSERT_EQUAL(ShareBudget::initial, retries);
+        CPPUNIT_ASSERT_EQUAL(AttemptBudget::initialTokens, retries);
     }
 
     void replacingAStreamMovesNoRun()
@@ -166,12 +166,12 @@
         fixture.apply(EntryFixture::submission(2));
         const auto ping = fixture.sent<Ping>().at(0).second;
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
-        CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->reason == Reason::Paused);
+        CPPUNIT_ASSERT(fixture.effect<SendAnswer>()->reason == Reason::Paused);
         fixture.complete(sidecar, start.run, "vector");
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
         fixture.receive(sidecar, Pong{ping.sequence - 1});
         fixture.apply(EntryFixture::submission(3));
-        CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->reason == Reason::Paused);
+        CPPUNIT_ASSERT(fixture.effect<SendAnswer>()->reason == Reason::Paused);
         fixture.receive(InstanceName{"gen-2"}, Pong{ping.sequence});
         CPPUNIT_ASSERT_EQUAL(InstanceName{"gen-2"}, fixture.sent<StartRun>().at(0).first);
     }
@@ -182,7 +182,7 @@
         fixture.apply(EntryFixture::submission(1));
         fixture.now += std::chrono::seconds{30};
         fixture.apply(Tick{});
-        const auto answer = fixture.effect<CallerAnswer>();
+        const auto answer = fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(answer && answer->reason == Reason::DeadlineExceeded);
         CPPUNIT_ASSERT(answer->outcome == Outcome::Incomplete);
         CPPUNIT_ASSERT(fixture.sent<StartRun>().empty());
@@ -196,12 +196,12 @@
         fixture.apply(DrainRequested{"SIGTERM"});
         CPPUNIT_ASSERT(!fixture.effect<DrainComplete>());
         fixture.apply(EntryFixture::submission(2));
-        const auto refused = fixture.effect<CallerAnswer>();
+        const auto refused = fixture.effect<SendAnswer>();
         CPPUNIT_ASSERT(refused->reason == Reason::Draining && refused->retryAfter > Duration::zero());
         fixture.complete(sidecar, start.run, "vector");
         const auto next = fixture.sent<StartRun>().at(0);
         fixture.complete(next.first, next.second.run, "text");
-        CPPUNIT_ASSERT(fixture.effect<CallerAnswer>()->outcome == Outcome::Completed);
+        CPPUNIT_ASSERT(fixture.effect<SendAnswer>()->outcome == Outcome::Completed);
         CPPUNIT_ASSERT(fixture.effect<DrainComplete>());
     }
 
--- a/test/bergamottide/ledger/keyownership.cpp
+++ b/test/bergamottide/ledger/keyownership.cpp
@@ -25,7 +25,7 @@
     for (const std::string &name : names) {
         Instance instance;
         instance.name = InstanceName{name};
-        instance.role = Role::Side;
+        instance.role = Role::Sidecar;
         instance.pool = pool();
         view.instances[instance.name] = instance;
     }
@@ -81,11 +81,11 @@
     void newSidecarRefusesForOneWindow()
     {
         KeyOwnership keys;
-        CPPUNIT_ASSERT(keys.judge(requestOf(1), InstanceName{"a"}, TimePoint{}, window).reason == Reason::StaleView);
+        CPPUNIT_ASSERT(keys.decide(requestOf(1), InstanceName{"a"}, TimePoint{}, window).reason == Reason::StaleView);
         keys.update(viewOf({"a"}), pool(), TimePoint{}, window);
-        const KeyVerdict warming = keys.judge(requestOf(1), InstanceName{"a"}, TimePoint{} + 4s, window);
+        const KeyDecision warming = keys.decide(requestOf(1), InstanceName{"a"}, TimePoint{} + 4s, window);
         CPPUNIT_ASSERT(warming.reason == Reason::Warming && warming.retryAfter == 6s);
-        CPPUNIT_ASSERT(keys.judge(requestOf(1), InstanceName{"a"}, TimePoint{} + 10s, window).reason == Reason::None);
+        CPPUNIT_ASSERT(keys.decide(requestOf(1), InstanceName{"a"}, TimePoint{} + 10s, window).reason == Reason::None);
     }
 
     void keysOfAnotherHomeAreRefused()
@@ -93,8 +93,8 @@
         KeyOwnership keys;
         keys.update(viewOf({"a", "b"}), pool(), TimePoint{}, window);
         const RequestId request = requestWithHome("b", {"a", "b"});
-        CPPUNIT_ASSERT(keys.judge(request, InstanceName{"a"}, TimePoint{} + 1h, window).reason == Reason::StaleView);
-        CPPUNIT_ASSERT(keys.judge(request, InstanceName{"b"}, TimePoint{} + 1h, window).reason == Reason::None);
+        CPPUNIT_ASSERT(keys.decide(request, InstanceName{"a"}, TimePoint{} + 1h, window).reason == Reason::StaleView);
+        CPPUNIT_ASSERT(keys.decide(request, InstanceName{"b"}, TimePoint{} + 1h, window).reason == Reason::None);
     }
 
     void gainedKeysAreRefusedForOneWindow()
@@ -105,9 +105,9 @@
         const RequestId gained = requestWithHome("b", {"a", "b"});
         const RequestId kept = requestWithHome("a", {"a", "b"});
         const TimePoint withinWindow = TimePoint{} + 1h + 9s;
-        CPPUNIT_ASSERT(keys.judge(gained, InstanceName{"a"}, withinWindow, window).reason == Reason::Warming);
-        CPPUNIT_ASSERT(keys.judge(kept, InstanceName{"a"}, withinWindow, window).reason == Reason::None);
-        CPPUNIT_ASSERT(keys.judge(gained, InstanceName{"a"}, withinWindow + 1s, window).reason == Reason::None);
+        CPPUNIT_ASSERT(keys.decide(gained, InstanceName{"a"}, withinWindow, window).reason == Reason::Warming);
+        CPPUNIT_ASSERT(keys.decide(kept, InstanceName{"a"}, withinWindow, window).reason == Reason::None);
+        CPPUNIT_ASSERT(keys.decide(gained, InstanceName{"a"}, withinWindow + 1s, window).reason == Reason::None);
     }
 
     void returningSidecarRefusesForOneWindow()
@@ -118,7 +118,7 @@
         keys.update(viewOf({"a", "b"}), pool(), TimePoint{} + 1h + 1s, window);
         const RequestId kept = requestWithHome("a", {"a", "b"});
         const TimePoint withinWindow = TimePoint{} + 1h + 2s;
-        CPPUNIT_ASSERT(keys.judge(kept, InstanceName{"a"}, withinWindow, window).reason == Reason::Warming);
+        CPPUNIT_ASSERT(keys.decide(kept, InstanceName{"a"}, withinWindow, window).reason == Reason::Warming);
     }
 };
 
--- a/test/bergamottide/ledger/ledger.cpp
+++ b/test/bergamottide/ledger/ledger.cpp
@@ -29,7 +29,7 @@
 class ReferenceLedger
 {
 public:
-    LedgerOpening open(const RequestId &id, Duration remaining, bool keyed, TimePoint now)
+    LedgerOpenResult open(const RequestId &id, Duration remaining, bool keyed, TimePoint now)
     {
         for (const LedgerRecord &record : m_records) {
             if (record.request == id) {
@@ -154,8 +154,8 @@
 private:
     void open(std::uint64_t number, Duration remaining, bool keyed)
     {
-        const LedgerOpening actual = m_ledger.open(request(number), remaining, keyed, limits, m_now);
-        const LedgerOpening expected = m_reference.open(request(number), remaining, keyed, m_now);
+        const LedgerOpenResult actual = m_ledger.open(request(number), remaining, keyed, limits, m_now);
+        const LedgerOpenResult expected = m_reference.open(request(number), remaining, keyed, m_now);
         RC_ASSERT(actual.reason == expected.reason);
         RC_ASSERT(actual.record.serial == expected.record.serial);
         RC_ASSERT(actual.record.state == expected.record.state);
@@ -226,7 +226,7 @@
         CPPUNIT_ASSERT(first != noSerial);
         CPPUNIT_ASSERT(ledger.open(request(1), 9s, false, limits, TimePoint{} + 1s).record.serial == first);
         (void)ledger.seal(first, TimePoint{});
-        const LedgerOpening sealed = ledger.open(request(1), 9s, false, limits, TimePoint{} + 2s);
+        const LedgerOpenResult sealed = ledger.open(request(1), 9s, false, limits, TimePoint{} + 2s);
         CPPUNIT_ASSERT(sealed.record.serial == first && sealed.record.state == LedgerState::Sealed);
     }
 
@@ -236,11 +236,11 @@
         for (std::uint64_t number = 0; number < limits.maxRecords; ++number) {
             CPPUNIT_ASSERT(ledger.open(request(number), 9s, false, limits, TimePoint{}).reason == Reason::None);
         }
-        const LedgerOpening refused = ledger.open(request(9), 9s, false, limits, TimePoint{});
+        const LedgerOpenResult refused = ledger.open(request(9), 9s, false, limits, TimePoint{});
         CPPUNIT_ASSERT(refused.reason == Reason::LedgerFull);
         CPPUNIT_ASSERT(refused.retryAfter > Duration{});
         for (std::uint64_t number = 0; number < limits.maxRecords; ++number) {
-            CPPUNIT_ASSERT(ledger.knows(request(number)));
+            CPPUNIT_ASSERT(ledger.contains(request(number)));
         }
     }
 
@@ -252,7 +252,7 @@
         ledger.markRunning(serial);
         CPPUNIT_ASSERT(ledger.expire(TimePoint{} + 24h).empty());
         CPPUNIT_ASSERT(ledger.find(serial)->state == LedgerState::Running);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger.unfinished());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, ledger.unfinishedCount());
     }
 
     void keyedRecordIsKeptForTheKeyRetention()
@@ -263,8 +263,8 @@
         CPPUNIT_ASSERT(sealed == std::vector<Serial>{serial});
         CPPUNIT_ASSERT(ledger.open(request(1), 9s, true, limits, TimePoint{} + 5s).record.serial == serial);
         CPPUNIT_ASSERT(ledger.expire(TimePoint{} + 5001ms).empty());
-        CPPUNIT_ASSERT(!ledger.knows(request(1)));
-        CPPUNIT_ASSERT(ledger.issued(serial));
+        CPPUNIT_ASSERT(!ledger.contains(request(1)));
+        CPPUNIT_ASSERT(ledger.wasIssued(serial));
     }
 
     void lateSealReportsTheActualState()
--- a/test/bergamottide/membership/configdistribution.cpp
+++ b/test/bergamottide/membership/configdistribution.cpp
@@ -44,7 +44,7 @@
         auto view = std::make_shared<InstanceView>();
         for (std::size_t index = 0; index < count; ++index) {
             const InstanceName name{"i" + std::to_string(index)};
-            view->instances[name] = {.name = name, .role = index < 3 ? Role::Entry : Role::Side};
+            view->instances[name] = {.name = name, .role = index < 3 ? Role::Entry : Role::Sidecar};
         }
         m_view = view;
         for (const auto &[name, instance] : m_view->instances) {
@@ -135,9 +135,9 @@
     {
         if (const auto *sent = std::get_if<SendMessage>(&effect)) {
             send(sent->to, PeerMessage{from, sent->message});
-        } else if (std::holds_alternative<ReadService>(effect)) {
+        } else if (std::holds_alternative<ReadConfig>(effect)) {
             ++reads;
-            answer(from, std::get<ReadService>(effect).after);
+            answer(from, std::get<ReadConfig>(effect).newerThan);
         } else if (const auto *changed = std::get_if<ConfigChanged>(&effect)) {
             hasReverted = hasReverted || changed->document->version <= m_activeVersion[from];
             m_activeVersion[from] = changed->document->version;
@@ -159,17 +159,17 @@
     {
         const auto due = m_now + std::chrono::milliseconds{5};
         if (m_isServiceDown) {
-            m_inFlight.emplace(due, Delivery{to, ServiceFailed{}});
+            m_inFlight.emplace(due, Delivery{to, ConfigReadFailed{}});
             return;
         }
         // One read in four is stale by up to three versions.
         const std::uint64_t lag = m_random() % 4 == 0 ? m_random() % 4 : 0;
         const std::uint64_t version = m_published > lag ? m_published - lag : 0;
         if (version == 0 || version == after) {
-            m_inFlight.emplace(due, Delivery{to, ServiceUnchanged{}});
+            m_inFlight.emplace(due, Delivery{to, ConfigUnchanged{}});
             return;
         }
-        m_inFlight.emplace(due, Delivery{to, ServiceDocument{writeDocument(documentOf(version))}});
+        m_inFlight.emplace(due, Delivery{to, ConfigDocumentRead{writeDocument(documentOf(version))}});
     }
 
     void deliver()
@@ -213,7 +213,7 @@
         InstanceView whole;
         for (int index = 0; index < 30; ++index) {
             const InstanceName name{"i" + std::to_string(index)};
-            whole.instances[name] = {.name = name, .role = index % 3 == 0 ? Role::Entry : Role::Side};
+            whole.instances[name] = {.name = name, .role = index % 3 == 0 ? Role::Entry : Role::Sidecar};
         }
         const ZoneOrder all{whole, {}, {}};
         for (int skipped = 0; skipped < 30; ++skipped) {
@@ -289,16 +289,16 @@
         auto view = std::make_shared<InstanceView>();
         for (const std::string name : {"a", "b", "z"}) {
             view->instances[InstanceName{name}] = {.name = InstanceName{name},
-                                                   .role = name == "z" ? Role::Side : Role::Entry};
+                                                   .role = name == "z" ? Role::Sidecar : Role::Entry};
         }
         std::size_t reads = 0;
         TimePoint now{};
         ConfigEffects effects = process.apply(ViewChanged{view}, now);
         while (now < TimePoint{600 * second}) {
             for (const ConfigEffect &effect : effects) {
-                if (std::holds_alternative<ReadService>(effect)) {
+                if (std::holds_alternative<ReadConfig>(effect)) {
                     ++reads;
-                    (void)process.apply(ServiceDocument{writeDocument(documentOf(1))}, now);
+                    (void)process.apply(ConfigDocumentRead{writeDocument(documentOf(1))}, now);
                 }
             }
             now = std::max(process.nextWakeup(), now + std::chrono::milliseconds{1});
@@ -311,12 +311,13 @@
     void conflictIsReportedOnce()
     {
         ConfigDistribution process{{.instance = InstanceName{"a"}}, {}, TimePoint{}};
-        (void)process.apply(ServiceDocument{writeDocument(documentOf(4))}, TimePoint{});
+        (void)process.apply(ConfigDocumentRead{writeDocument(documentOf(4))}, TimePoint{});
         Document other = documentOf(4);
         other.policy.queueLimit = 7;
         std::size_t reports = 0;
         for (int count = 0; count < 3; ++count) {
-            for (const ConfigEffect &effect : process.apply(ServiceDocument{writeDocument(other)}, TimePoint{second})) {
+            for (const ConfigEffect &effect :
+                 process.apply(ConfigDocumentRead{writeDocument(other)}, TimePoint{second})) {
                 const auto *record = std::get_if<AuditRecord>(&effect);
                 reports += record != nullptr && record->kind == AuditKind::ConfigRefused ? 1 : 0;
                 CPPUNIT_ASSERT(!std::holds_alternative<ConfigChanged>(effect));
--- a/test/bergamottide/net/answerends.cpp
+++ b/test/bergamottide/net/answerends.cpp
@@ -120,7 +120,7 @@
         const OneAnswer server{"HTTP/1.1 200 OK\r\n" + answer, end};
         std::optional<std::string> result;
         HttpCallHooks hooks;
-        hooks.done = [&result](const HttpAnswer &whole) {
+        hooks.done = [&result](const HttpResponse &whole) {
             result = "done " + whole.body;
         };
         hooks.failed = [&result](HttpFailure failure) {
--- a/test/bergamottide/net/http.cpp
+++ b/test/bergamottide/net/http.cpp
@@ -38,7 +38,7 @@
     void answersWholeBodies()
     {
         HttpServer server{m_loop, {"127.0.0.1:0", {}, 1 << 20}, [](HttpRequest request, auto responder) {
-                              responder->answer({201, {{"X-Path", request.path}}, request.query + request.body});
+                              responder->respond({201, {{"X-Path", request.path}}, request.query + request.body});
                           }};
         CPPUNIT_ASSERT(server.listen().ok());
         const auto answer = callOnce(server.address(), {"POST", "/a", "q=1", {}, "body"});
@@ -82,7 +82,7 @@
     void refusesABodyAboveTheLimit()
     {
         HttpServer server{m_loop, {"127.0.0.1:0", {}, 1 << 20}, [](HttpRequest, auto responder) {
-                              responder->answer({200, {}, std::string(2048, 'x')});
+                              responder->respond({200, {}, std::string(2048, 'x')});
                           }};
         CPPUNIT_ASSERT(server.listen().ok());
         HttpClientOptions options;
@@ -121,7 +121,7 @@
         int answered = 0;
         HttpServer server{m_loop, {"127.0.0.1:0", {}, 1 << 20}, [&answered](HttpRequest, auto responder) {
                               ++answered;
-                              responder->answer({200, {}, "x"});
+                              responder->respond({200, {}, "x"});
                           }};
         CPPUNIT_ASSERT(server.listen().ok());
         bool called = false;
@@ -133,7 +133,7 @@
         hooks.piece = [&called](std::string_view) {
             called = true;
         };
-        hooks.done = [&called](HttpAnswer) {
+        hooks.done = [&called](HttpResponse) {
             called = true;
         };
         hooks.failed = [&called](HttpFailure) {
@@ -149,7 +149,7 @@
     void reusesAConnection()
     {
         HttpServer server{m_loop, {"127.0.0.1:0", {}, 1 << 20}, [](HttpRequest request, auto responder) {
-                              responder->answer({200, {}, request.path});
+                              responder->respond({200, {}, request.path});
                           }};
         CPPUNIT_ASSERT(server.listen().ok());
         for (int round = 0; round < 20; ++round) {
@@ -203,7 +203,7 @@
     static HttpServer::Handler answerOk()
     {
         return [](HttpRequest, const std::shared_ptr<HttpResponder> &responder) {
-            responder->answer({200, {}, "ok"});
+            responder->respond({200, {}, "ok"});
         };
     }
 
@@ -222,17 +222,17 @@
         }
     }
 
-    std::optional<HttpAnswer> callOnce(const std::string &address, HttpRequest request)
+    std::optional<HttpResponse> callOnce(const std::string &address, HttpRequest request)
     {
         return callOnce(m_client, address, std::move(request));
     }
 
-    std::optional<HttpAnswer> callOnce(HttpClient &client, const std::string &address, HttpRequest request)
+    std::optional<HttpResponse> callOnce(HttpClient &client, const std::string &address, HttpRequest request)
     {
-        std::optional<HttpAnswer> result;
+        std::optional<HttpResponse> result;
         bool failed = false;
         HttpCallHooks hooks;
-        hooks.done = [&result](HttpAnswer answer) {
+        hooks.done = [&result](HttpResponse answer) {
             result = std::move(answer);
         };
         hooks.failed = [&failed](HttpFailure) {
--- a/test/bergamottide/orders/orderplanner.cpp
+++ b/test/bergamottide/orders/orderplanner.cpp
@@ -42,14 +42,14 @@
     for (int number = 0; number < engines; ++number) {
         Instance instance;
         instance.name = InstanceName{"side-" + std::to_string(number)};
-        instance.role = Role::Side;
+        instance.role = Role::Sidecar;
         instance.pool = PoolName{"engines"};
         view.instances[instance.name] = instance;
     }
     return view;
 }
 
-EndpointReport reportOf(const std::vector<ModelName> &models, std::uint64_t fence = 0)
+EndpointLoadReport reportOf(const std::vector<ModelName> &models, std::uint64_t fence = 0)
 {
     return {0, 0, models, fence};
 }
@@ -62,12 +62,12 @@
         planner.plan(documentOf(1), viewOf(1), now);
     }
 
-    std::optional<GiveOrder> nextAfterReport(const std::vector<ModelName> &models, Duration later = 3s,
+    std::optional<SendOrder> nextAfterReport(const std::vector<ModelName> &models, Duration later = 3s,
                                              std::uint64_t fence = 0)
     {
         now += later;
         planner.onReport(reportOf(models, fence), now);
-        return planner.next(now);
+        return planner.nextOrder(now);
     }
 
     OrderPlanner planner{InstanceName{"side-0"}, 1};
@@ -126,12 +126,12 @@
     void ordersAreIssuedUntilTheEngineMatches()
     {
         SingleEngine single;
-        const GiveOrder load = *single.nextAfterReport({}, 60s);
+        const SendOrder load = *single.nextAfterReport({}, 60s);
         CPPUNIT_ASSERT(load.kind == OrderKind::LoadModel && load.model == large() && load.version == "2");
-        single.planner.onAnswer({load.fence, true}, single.now);
-        const GiveOrder adapter = *single.nextAfterReport({large()});
+        single.planner.onAnswer({load.fencingToken, true}, single.now);
+        const SendOrder adapter = *single.nextAfterReport({large()});
         CPPUNIT_ASSERT(adapter.kind == OrderKind::LoadAdapter && adapter.adapter.text() == "a");
-        single.planner.onAnswer({adapter.fence, true}, single.now);
+        single.planner.onAnswer({adapter.fencingToken, true}, single.now);
         CPPUNIT_ASSERT(!single.nextAfterReport({large()}));
         // The engine restarts empty.
         CPPUNIT_ASSERT(single.nextAfterReport({})->kind == OrderKind::LoadModel);
@@ -140,11 +140,11 @@
     void nextOrderNeedsAnAnswerAndANewReport()
     {
         SingleEngine single;
-        const GiveOrder load = *single.nextAfterReport({}, 60s);
+        const SendOrder load = *single.nextAfterReport({}, 60s);
         CPPUNIT_ASSERT(!single.nextAfterReport({}));
-        single.planner.onAnswer({load.fence + 1, true}, single.now);
+        single.planner.onAnswer({load.fencingToken + 1, true}, single.now);
         CPPUNIT_ASSERT(single.planner.inFlight());
-        single.planner.onAnswer({load.fence, true}, single.now);
+        single.planner.onAnswer({load.fencingToken, true}, single.now);
         // A report within the lag of the engine's reports may show the state before the order.
         CPPUNIT_ASSERT(!single.nextAfterReport({}, 1s));
         CPPUNIT_ASSERT(single.nextAfterReport({}, 2s));
@@ -153,29 +153,29 @@
     void timedOutOrderIsNotRepeated()
     {
         SingleEngine single;
-        const GiveOrder load = *single.nextAfterReport({}, 60s);
+        const SendOrder load = *single.nextAfterReport({}, 60s);
         CPPUNIT_ASSERT(!single.nextAfterReport({}, 119s));
         CPPUNIT_ASSERT(!single.nextAfterReport({}, 2s));
         CPPUNIT_ASSERT(!single.planner.inFlight());
-        const GiveOrder next = *single.nextAfterReport({large()});
-        CPPUNIT_ASSERT(next.kind == OrderKind::SetVersion && next.fence > load.fence);
+        const SendOrder next = *single.nextAfterReport({large()});
+        CPPUNIT_ASSERT(next.kind == OrderKind::SetVersion && next.fencingToken > load.fencingToken);
     }
 
     void fencingNumbersExceedVersionOrdersAndReports()
     {
         SingleEngine single;
-        const std::uint64_t first = single.nextAfterReport({}, 60s)->fence;
+        const std::uint64_t first = single.nextAfterReport({}, 60s)->fencingToken;
         single.planner.onAnswer({first, true}, single.now);
-        const std::uint64_t second = single.nextAfterReport({}, 3s, first + 100)->fence;
+        const std::uint64_t second = single.nextAfterReport({}, 3s, first + 100)->fencingToken;
         CPPUNIT_ASSERT(second > first + 100);
         single.planner.onAnswer({second, true}, single.now);
         single.planner.plan(documentOf(1, 2), viewOf(1), single.now);
         OrderPlanner replaced{InstanceName{"side-0"}, 1};
         replaced.plan(documentOf(1, 1), viewOf(1), single.now);
-        const std::uint64_t newer = single.nextAfterReport({}, 60s)->fence;
+        const std::uint64_t newer = single.nextAfterReport({}, 60s)->fencingToken;
         CPPUNIT_ASSERT(newer > second);
         replaced.onReport(reportOf({}, 0), single.now);
-        CPPUNIT_ASSERT(replaced.next(single.now + 60s)->fence < newer);
+        CPPUNIT_ASSERT(replaced.nextOrder(single.now + 60s)->fencingToken < newer);
     }
 
     void discardedReportIsNotUsed()
@@ -183,8 +183,8 @@
         SingleEngine single;
         single.now += 60s;
         single.planner.onReport(reportOf({}), single.now);
-        single.planner.forgetReading(single.now);
-        CPPUNIT_ASSERT(!single.planner.next(single.now));
+        single.planner.discardReport(single.now);
+        CPPUNIT_ASSERT(!single.planner.nextOrder(single.now));
         CPPUNIT_ASSERT(!single.nextAfterReport({}, 1s));
         CPPUNIT_ASSERT(single.nextAfterReport({}, 2s));
     }
@@ -195,20 +195,20 @@
         Duration last{};
         for (int round = 0; round < 3; ++round) {
             Duration waited{};
-            std::optional<GiveOrder> order = single.nextAfterReport({}, 60s);
-            single.planner.onAnswer({order->fence, false}, single.now);
+            std::optional<SendOrder> order = single.nextAfterReport({}, 60s);
+            single.planner.onAnswer({order->fencingToken, false}, single.now);
             while (!(order = single.nextAfterReport({}, 1s))) {
                 waited += 1s;
             }
-            single.planner.onAnswer({order->fence, true}, single.now);
+            single.planner.onAnswer({order->fencingToken, true}, single.now);
             CPPUNIT_ASSERT(waited >= 4s);
             last = waited;
         }
         CPPUNIT_ASSERT(last < 6s);
-        std::optional<GiveOrder> order = single.nextAfterReport({}, 60s);
-        single.planner.onAnswer({order->fence, false}, single.now);
+        std::optional<SendOrder> order = single.nextAfterReport({}, 60s);
+        single.planner.onAnswer({order->fencingToken, false}, single.now);
         order = single.nextAfterReport({}, 60s);
-        single.planner.onAnswer({order->fence, false}, single.now);
+        single.planner.onAnswer({order->fencingToken, false}, single.now);
         CPPUNIT_ASSERT(!single.nextAfterReport({}, 9s));
         CPPUNIT_ASSERT(single.nextAfterReport({}, 2s));
     }
@@ -217,13 +217,13 @@
     {
         SingleEngine single;
         const ModelName old{"old"};
-        const GiveOrder version = *single.nextAfterReport({large(), old});
-        single.planner.onAnswer({version.fence, true}, single.now);
-        const GiveOrder adapter = *single.nextAfterReport({large(), old});
-        single.planner.onAnswer({adapter.fence, true}, single.now);
+        const SendOrder version = *single.nextAfterReport({large(), old});
+        single.planner.onAnswer({version.fencingToken, true}, single.now);
+        const SendOrder adapter = *single.nextAfterReport({large(), old});
+        single.planner.onAnswer({adapter.fencingToken, true}, single.now);
         CPPUNIT_ASSERT(!single.nextAfterReport({large(), old}));
         CPPUNIT_ASSERT(!single.nextAfterReport({large(), old}, 50s));
-        const GiveOrder unload = *single.nextAfterReport({large(), old}, 11s);
+        const SendOrder unload = *single.nextAfterReport({large(), old}, 11s);
         CPPUNIT_ASSERT(unload.kind == OrderKind::UnloadModel && unload.model == old);
     }
 
@@ -236,7 +236,7 @@
             planner.plan(documentOf(40), view, TimePoint{});
             planner.onReport(reportOf({}), TimePoint{} + 1us);
             for (std::int64_t second = 0; second < 500; ++second) {
-                if (planner.next(TimePoint{} + std::chrono::seconds{second})) {
+                if (planner.nextOrder(TimePoint{} + std::chrono::seconds{second})) {
                     ++starts[second / 10];
                     break;
                 }
--- a/test/bergamottide/placement/placement.cpp
+++ b/test/bergamottide/placement/placement.cpp
@@ -1,7 +1,7 @@
 #include "bergamottide/placement/placement.h"
 
-#include "bergamottide/placement/ejector.h"
 #include "bergamottide/placement/loadestimate.h"
+#include "bergamottide/placement/outlierejector.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -35,7 +35,7 @@
         for (std::uint32_t number = 0; number < count; ++number) {
             Instance instance;
             instance.name = InstanceName{zone + std::to_string(number)};
-            instance.role = Role::Side;
+            instance.role = Role::Sidecar;
             instance.region = RegionName{region};
             instance.zone = ZoneName{zone};
             instance.pool = pool;
@@ -224,14 +224,14 @@
     void ejectsOutliersUpToCap()
     {
         Endpoints pool{6};
-        Ejector ejector{pool.table};
+        OutlierEjector ejector{pool.table};
         for (EndpointNumber number = 0; number < 6; ++number) {
             for (int sample = 0; sample < 20; ++sample) {
-                ejector.completed(number, milliseconds{100}, milliseconds{number < 2 ? 1000 : 100});
+                ejector.recordCompletion(number, milliseconds{100}, milliseconds{number < 2 ? 1000 : 100});
             }
         }
         for (int sample = 0; sample < 20; ++sample) {
-            ejector.failed(5);
+            ejector.recordFailure(5);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ejector.review(pool.policy, pool.now).size());
         CPPUNIT_ASSERT(!pool.table.endpoint(0).available() && !pool.table.endpoint(1).available());
@@ -241,10 +241,10 @@
     void ejectsNoneWhenAllFail()
     {
         Endpoints pool{6};
-        Ejector ejector{pool.table};
+        OutlierEjector ejector{pool.table};
         for (EndpointNumber number = 0; number < 6; ++number) {
             for (int sample = 0; sample < 20; ++sample) {
-                ejector.failed(number);
+                ejector.recordFailure(number);
             }
         }
         CPPUNIT_ASSERT(ejector.review(pool.policy, pool.now).empty());
@@ -253,10 +253,10 @@
     void returnsToServiceAfterSuccessfulTrial()
     {
         Endpoints pool{3};
-        Ejector ejector{pool.table};
+        OutlierEjector ejector{pool.table};
         const EndpointNumber bad = *pool.table.find(InstanceName{"a1"});
         for (int sample = 0; sample < 10; ++sample) {
-            ejector.failed(bad);
+            ejector.recordFailure(bad);
         }
         CPPUNIT_ASSERT(ejector.review(pool.policy, pool.now).at(0).ejected);
         pool.now += pool.policy.ejectionTime;
@@ -267,7 +267,7 @@
             trials += pool.place() == "a1" ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(1, trials);
-        ejector.completed(bad, milliseconds{100}, milliseconds{100});
+        ejector.recordCompletion(bad, milliseconds{100}, milliseconds{100});
         CPPUNIT_ASSERT(!ejector.review(pool.policy, pool.now).at(0).ejected);
         CPPUNIT_ASSERT(pool.table.endpoint(bad).available());
     }
--- a/test/bergamottide/placement/serviceestimator.cpp
+++ b/test/bergamottide/placement/servicetimeestimator.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/placement/serviceestimator.h"
+#include "bergamottide/placement/servicetimeestimator.h"
 
 #include "bergamottide/placement/quantilesketch.h"
 
@@ -20,9 +20,9 @@
     PipelineName m_pipeline{"answer"};
     StageName m_stage{"generate"};
     KindName m_kind{"plain"};
-    ServiceEstimator m_estimator;
+    ServiceTimeEstimator m_estimator;
 
-    [[nodiscard]] ServiceKey key(double size) const
+    [[nodiscard]] ServiceTimeKey key(double size) const
     {
         return {m_pipeline, m_stage, m_kind, size};
     }
--- a/test/bergamottide/platform/platformclients.cpp
+++ b/test/bergamottide/platform/platformclients.cpp
@@ -184,7 +184,7 @@
         request.body = std::move(body);
         bool done = false;
         HttpCallHooks hooks;
-        hooks.done = [&done](const HttpAnswer &) {
+        hooks.done = [&done](const HttpResponse &) {
             done = true;
         };
         hooks.failed = [&done](HttpFailure) {
--- a/test/bergamottide/scheduling/concurrencylimit.cpp
+++ b/test/bergamottide/scheduling/concurrencylimit.cpp
@@ -20,7 +20,7 @@
         ConcurrencyLimit limit{16};
         for (int run = 0; run < 1000; ++run) {
             // 16 concurrent runs that take 6 times as long as a single one still increase the throughput.
-            limit.completed(6.0, 16);
+            limit.recordCompletion(6.0, 16);
         }
         CPPUNIT_ASSERT_EQUAL(16U, limit.current());
     }
@@ -29,11 +29,11 @@
     {
         ConcurrencyLimit limit{16};
         for (int run = 0; run < 1000; ++run) {
-            limit.overloaded();
+            limit.recordOverload();
         }
         CPPUNIT_ASSERT_EQUAL(1U, limit.current());
         for (int run = 0; run < 1000; ++run) {
-            limit.completed(1.0, limit.current());
+            limit.recordCompletion(1.0, limit.current());
         }
         CPPUNIT_ASSERT_EQUAL(16U, limit.current());
     }
@@ -42,7 +42,7 @@
     {
         ConcurrencyLimit limit{16};
         for (int run = 0; run < 1000; ++run) {
-            limit.completed(100.0, limit.current());
+            limit.recordCompletion(100.0, limit.current());
         }
         CPPUNIT_ASSERT_EQUAL(8U, limit.current());
     }
@@ -51,7 +51,7 @@
     {
         ConcurrencyLimit limit{20};
         for (int run = 0; run < 39; ++run) {
-            limit.overloaded();
+            limit.recordOverload();
         }
         CPPUNIT_ASSERT(limit.current() >= 16U);
     }
--- a/test/bergamottide/scheduling/fairqueue.cpp
+++ b/test/bergamottide/scheduling/fairqueue.cpp
@@ -48,12 +48,12 @@
     Duration following;
 };
 
-void assertSameOutcome(const QueueOutcome &left, const QueueOutcome &right)
+void assertSameOutcome(const PushResult &left, const PushResult &right)
 {
     RC_ASSERT(left.accepted == right.accepted);
-    RC_ASSERT(left.victim.has_value() == right.victim.has_value());
-    if (left.victim) {
-        RC_ASSERT(left.victim->run == right.victim->run);
+    RC_ASSERT(left.evicted.has_value() == right.evicted.has_value());
+    if (left.evicted) {
+        RC_ASSERT(left.evicted->run == right.evicted->run);
     }
 }
 
@@ -95,7 +95,7 @@
                         QueueItem offered =
                             item(++number, workspace(step.workspace), step.cost, step.deadline, step.value);
                         offered.deadline = now + step.deadline;
-                        offered.following = step.following;
+                        offered.laterStagesCost = step.following;
                         assertSameOutcome(queue.push(offered), naive.push(offered));
                     } else if (step.kind < 7) {
                         RC_ASSERT(queue.pop(now) == naive.pop(now));
@@ -103,7 +103,7 @@
                         const RunId run{RequestId{0, number / 2}, 0, 1};
                         RC_ASSERT(queue.erase(run) == naive.erase(run));
                     } else {
-                        RC_ASSERT(queue.takeDoomed(now) == naive.takeDoomed(now));
+                        RC_ASSERT(queue.takeInfeasible(now) == naive.takeDoomed(now));
                     }
                     RC_ASSERT(queue.size() == naive.size());
                 }
@@ -177,7 +177,7 @@
         FairQueue queue{10, 1};
         (void)queue.push(item(1, workspace(0), 100ms, 5s));
         QueueItem longer = item(2, workspace(0), 110ms, 6s);
-        longer.following = 3s;
+        longer.laterStagesCost = 3s;
         (void)queue.push(longer);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, queue.pop(TimePoint{})->run.request.low);
         (void)queue.push(longer);
@@ -204,9 +204,9 @@
         (void)queue.push(item(2, workspace(0), 100ms, 9s, 1.0));
         (void)queue.push(item(3, workspace(1), 200ms));
         (void)queue.push(item(4, workspace(1), 200ms));
-        const QueueOutcome outcome = queue.push(item(5, workspace(2), 50ms));
+        const PushResult outcome = queue.push(item(5, workspace(2), 50ms));
         CPPUNIT_ASSERT(outcome.accepted);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, outcome.victim->run.request.low);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, outcome.evicted->run.request.low);
     }
 
     void rejectsPushedRunOfLowestValueDensity()
@@ -214,8 +214,8 @@
         FairQueue queue{2, 1};
         (void)queue.push(item(1, workspace(0), 100ms, 9s, 2.0));
         (void)queue.push(item(2, workspace(1)));
-        const QueueOutcome outcome = queue.push(item(3, workspace(0), 100ms, 9s, 1.0));
-        CPPUNIT_ASSERT(!outcome.accepted && !outcome.victim);
+        const PushResult outcome = queue.push(item(3, workspace(0), 100ms, 9s, 1.0));
+        CPPUNIT_ASSERT(!outcome.accepted && !outcome.evicted);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, queue.size());
     }
 
@@ -223,13 +223,13 @@
     {
         FairQueue queue{10, 1};
         QueueItem late = item(1, workspace(0), 100ms, 900ms);
-        late.following = 300ms;
+        late.laterStagesCost = 300ms;
         (void)queue.push(late);
         (void)queue.push(item(2, workspace(1), 100ms, 500ms));
         (void)queue.push(item(3, workspace(1), 100ms, 5s));
-        CPPUNIT_ASSERT(queue.nextDoomed() == TimePoint{} + 400ms);
-        CPPUNIT_ASSERT(queue.takeDoomed(TimePoint{} + 400ms).empty());
-        const auto infeasible = queue.takeDoomed(TimePoint{} + 501ms);
+        CPPUNIT_ASSERT(queue.nextInfeasibleAt() == TimePoint{} + 400ms);
+        CPPUNIT_ASSERT(queue.takeInfeasible(TimePoint{} + 400ms).empty());
+        const auto infeasible = queue.takeInfeasible(TimePoint{} + 501ms);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, infeasible.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, infeasible[0].run.request.low);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, infeasible[1].run.request.low);
--- a/test/bergamottide/scheduling/naivefairqueue.h
+++ b/test/bergamottide/scheduling/naivefairqueue.h
@@ -26,7 +26,7 @@
         m_weights[workspace] = std::llround(weight * 1000.0);
     }
 
-    QueueOutcome push(const QueueItem &item)
+    PushResult push(const QueueItem &item)
     {
         rankOf(item.workspace);
         if (runsOf(item.workspace).empty()) {
@@ -37,7 +37,7 @@
             return {true, std::nullopt};
         }
         const QueueItem victim = removeRun(leastDense(largestBacklog()));
-        return victim.run == item.run ? QueueOutcome{} : QueueOutcome{true, victim};
+        return victim.run == item.run ? PushResult{} : PushResult{true, victim};
     }
 
     std::optional<QueueItem> pop(TimePoint now)
@@ -64,7 +64,7 @@
     {
         std::vector<QueueItem> infeasible;
         for (const QueueItem &item : m_items) {
-            if (item.deadline - item.cost - item.following < now) {
+            if (item.deadline - item.cost - item.laterStagesCost < now) {
                 infeasible.push_back(item);
             }
         }
--- a/test/bergamottide/scheduling/servicetime.cpp
+++ b/test/bergamottide/scheduling/servicetimes.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/scheduling/servicetime.h"
+#include "bergamottide/scheduling/servicetimes.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/test/bergamottide/serving/evacuation.cpp
+++ b/test/bergamottide/serving/evacuation.cpp
@@ -31,15 +31,15 @@
     {
         EndpointDirectory directory;
         directory.replace(list(), m_now);
-        static_cast<void>(directory.takeChange(m_now));
-        directory.setEvacuated({ZoneName{"b"}});
-        const auto evacuated = directory.takeChange(m_now);
+        static_cast<void>(directory.takeChangedList(m_now));
+        directory.setEvacuatedZones({ZoneName{"b"}});
+        const auto evacuated = directory.takeChangedList(m_now);
         CPPUNIT_ASSERT(evacuated != nullptr);
         for (const EndpointRecord &record : *evacuated) {
             CPPUNIT_ASSERT_EQUAL(record.zone == ZoneName{"b"}, record.isEvacuated);
         }
-        directory.setEvacuated({});
-        const auto restored = directory.takeChange(m_now);
+        directory.setEvacuatedZones({});
+        const auto restored = directory.takeChangedList(m_now);
         CPPUNIT_ASSERT(restored != nullptr);
         CPPUNIT_ASSERT(std::ranges::none_of(*restored, &EndpointRecord::isEvacuated));
     }
@@ -47,10 +47,10 @@
     void evacuationAppliesDuringListOutageAndToNewEndpoints()
     {
         EndpointDirectory directory;
-        directory.setEvacuated({ZoneName{"b"}});
-        directory.lost(m_now);
+        directory.setEvacuatedZones({ZoneName{"b"}});
+        directory.beginListOutage(m_now);
         directory.put({InstanceName{"late"}, PoolName{"desk"}, "10.0.0.1:1", ZoneName{"b"}, 4, false}, m_now);
-        CPPUNIT_ASSERT(directory.takeChange(m_now)->front().isEvacuated);
+        CPPUNIT_ASSERT(directory.takeChangedList(m_now)->front().isEvacuated);
     }
 
     void evacuatedZoneGetsNoRequestsRetriesOrStageCalls()
@@ -75,8 +75,8 @@
     {
         m_fixture.apply(m_fixture.arrival("/summary/1"));
         const StartRun first = *m_fixture.effect<StartRun>();
-        m_fixture.apply(RunAnswered{first.run, ServingFixture::head()});
-        m_fixture.apply(RunReceived{first.run, "id: 0\ndata: a\n\n"});
+        m_fixture.apply(RunHeadReceived{first.run, ServingFixture::responseHead()});
+        m_fixture.apply(RunBodyReceived{first.run, "id: 0\ndata: a\n\n"});
         const std::string zone = first.instance.text().substr(first.instance.text().size() - 1);
         evacuate({zone});
         // Requests in progress may finish in the evacuated zone.
@@ -85,7 +85,7 @@
         const auto *resumed = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(resumed != nullptr);
         CPPUNIT_ASSERT(resumed->instance.text().back() != zone.front());
-        CPPUNIT_ASSERT_EQUAL(std::string{"0"}, resumed->lastEvent);
+        CPPUNIT_ASSERT_EQUAL(std::string{"0"}, resumed->lastEventId);
     }
 
     void queuedStageWorkMovesToRemainingEndpoints()
@@ -98,8 +98,8 @@
         }
         evacuate({"b"});
         // Both endpoints are busy; queued work goes to the remaining one.
-        m_fixture.apply(StageCallEnded{StageCallNumber{1}, StageCallEnd::Answered, results(8)});
-        m_fixture.apply(StageCallEnded{StageCallNumber{2}, StageCallEnd::Answered, results(8)});
+        m_fixture.apply(StageCallEnded{StageCallNumber{1}, StageCallStatus::Answered, results(8)});
+        m_fixture.apply(StageCallEnded{StageCallNumber{2}, StageCallStatus::Answered, results(8)});
         for (const Effect &effect : m_fixture.effects()) {
             if (const auto *call = std::get_if<StartStageCall>(&effect)) {
                 CPPUNIT_ASSERT_EQUAL(std::string{"encoder-a"}, call->instance.text());
@@ -112,8 +112,8 @@
         evacuate({"a", "b", "c"});
         m_fixture.apply(m_fixture.arrival("/order/1"));
         CPPUNIT_ASSERT(m_fixture.effect<StartRun>() == nullptr);
-        const auto *refusal = m_fixture.effect<RefuseCaller>();
-        CPPUNIT_ASSERT(refusal != nullptr && refusal->kind == AnswerKind::Unavailable);
+        const auto *refusal = m_fixture.effect<SendErrorResponse>();
+        CPPUNIT_ASSERT(refusal != nullptr && refusal->kind == ErrorKind::Unavailable);
         CPPUNIT_ASSERT(refusal->retryAfter > Duration::zero());
     }
 
@@ -171,8 +171,8 @@
             names.insert(ZoneName{zone});
         }
         m_directory.replace(list(), m_now);
-        m_directory.setEvacuated(std::move(names));
-        m_fixture.apply(EndpointsChanged{m_directory.takeChange(m_now)});
+        m_directory.setEvacuatedZones(std::move(names));
+        m_fixture.apply(EndpointsChanged{m_directory.takeChangedList(m_now)});
     }
 
     TimePoint m_now{std::chrono::seconds{100}};
--- a/test/bergamottide/serving/fleetstart.cpp
+++ b/test/bergamottide/serving/fleetstart.cpp
@@ -31,18 +31,18 @@
     void processWithoutPeersHoldsBackStageTasks()
     {
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
-        m_fixture.pass(std::chrono::milliseconds{500});
+        m_fixture.advanceClock(std::chrono::milliseconds{500});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
-        CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>() == nullptr);
+        CPPUNIT_ASSERT(m_fixture.effect<SendErrorResponse>() == nullptr);
     }
 
     void tasksAreHandedToOwnerAfterDiscovery()
     {
-        m_fixture.pass(std::chrono::milliseconds{50});
-        m_fixture.apply(HeartbeatHeard{owner()});
-        CPPUNIT_ASSERT(m_fixture.effect<HandTask>() == nullptr);
-        m_fixture.pass(std::chrono::milliseconds{250});
-        const auto *handed = m_fixture.effect<HandTask>();
+        m_fixture.advanceClock(std::chrono::milliseconds{50});
+        m_fixture.apply(HeartbeatReceived{owner()});
+        CPPUNIT_ASSERT(m_fixture.effect<DelegateTask>() == nullptr);
+        m_fixture.advanceClock(std::chrono::milliseconds{250});
+        const auto *handed = m_fixture.effect<DelegateTask>();
         CPPUNIT_ASSERT(handed != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::string{"strong"}, handed->peer.instance.text());
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
@@ -50,25 +50,25 @@
 
     void processWithoutPeersStartsAfterDiscoveryTimeout()
     {
-        m_fixture.pass(std::chrono::milliseconds{1000});
+        m_fixture.advanceClock(std::chrono::milliseconds{1000});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
     }
 
     void taskOfDisconnectedCallerIsDropped()
     {
-        m_fixture.apply(CallerLeft{CallId{1}});
-        m_fixture.pass(std::chrono::milliseconds{1000});
+        m_fixture.apply(CallerDisconnected{CallId{1}});
+        m_fixture.advanceClock(std::chrono::milliseconds{1000});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
     }
 
     void peerThatJoinsLaterDoesNotDelayTasks()
     {
-        m_fixture.pass(std::chrono::milliseconds{1000});
-        m_fixture.apply(HeartbeatHeard{owner()});
+        m_fixture.advanceClock(std::chrono::milliseconds{1000});
+        m_fixture.apply(HeartbeatReceived{owner()});
         RequestArrived arrival = m_fixture.arrival("/draft/1", 2);
         arrival.request.pieces = {4};
         m_fixture.apply(arrival);
-        CPPUNIT_ASSERT(m_fixture.effect<HandTask>() != nullptr);
+        CPPUNIT_ASSERT(m_fixture.effect<DelegateTask>() != nullptr);
     }
 
 private:
@@ -77,7 +77,7 @@
     {
         Heartbeat out;
         out.from = {InstanceName{"strong"}, "10.0.0.8:1", 8.0};
-        out.ownsQueues = true;
+        out.canOwnQueues = true;
         out.isRelay = true;
         return out;
     }
--- a/test/bergamottide/serving/largefleet.cpp
+++ b/test/bergamottide/serving/largefleet.cpp
@@ -1,7 +1,7 @@
 #include "peerfleet.h"
 #include "servingfixture.h"
 
-#include "bergamottide/serving/endpointboard.h"
+#include "bergamottide/serving/endpointregistry.h"
 #include "bergamottide/serving/peers.h"
 #include "bergamottide/serving/stagescheduler.h"
 
@@ -56,8 +56,8 @@
     void viewExpiresWithPeerTimeout()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
-        peers.heard(heartbeat("b"), m_now);
-        peers.heard(heartbeat("c"), m_now + std::chrono::milliseconds{500});
+        peers.handleHeartbeat(heartbeat("b"), m_now);
+        peers.handleHeartbeat(heartbeat("c"), m_now + std::chrono::milliseconds{500});
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, peers.liveCount(m_now + std::chrono::milliseconds{899}));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, peers.liveCount(m_now + std::chrono::milliseconds{900}));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, peers.liveCount(m_now + std::chrono::milliseconds{1400}));
@@ -67,14 +67,14 @@
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
         Heartbeat other = heartbeat("b");
-        peers.heard(other, m_now);
+        peers.handleHeartbeat(other, m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, peers.liveCount(m_now));
-        CPPUNIT_ASSERT(peers.owner(PoolName{"pool"}, m_now).has_value());
-        other.ownsQueues = false;
-        peers.heard(other, m_now);
-        CPPUNIT_ASSERT(!peers.owner(PoolName{"pool"}, m_now));
+        CPPUNIT_ASSERT(peers.queueOwner(PoolName{"pool"}, m_now).has_value());
+        other.canOwnQueues = false;
+        peers.handleHeartbeat(other, m_now);
+        CPPUNIT_ASSERT(!peers.queueOwner(PoolName{"pool"}, m_now));
         other.draining = true;
-        peers.heard(other, m_now);
+        peers.handleHeartbeat(other, m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, peers.liveCount(m_now));
         CPPUNIT_ASSERT(peers.isLive(InstanceName{"b"}, m_now));
         peers.markUnreachable(InstanceName{"b"}, m_now);
@@ -120,16 +120,16 @@
         Peers relay{{InstanceName{"relay"}, "relay:1", 0.5}, {}};
         for (int number = 0; number < 103; ++number) {
             Heartbeat other = heartbeat("entry-" + std::to_string(number));
-            other.from.strength = number % 7 == 0 ? 0.5 : 0.1;
+            other.from.capacity = number % 7 == 0 ? 0.5 : 0.1;
             other.isRelay = number % 7 == 0;
             for (const int rank : {0, 1, 2}) {
                 other.upcoming.push_back({PoolName{"encoders"}, rank, 4});
                 other.upcoming.push_back({PoolName{"rerankers"}, rank, 8});
             }
-            relay.heard(other, m_now);
+            relay.handleHeartbeat(other, m_now);
         }
         Heartbeat out;
-        relay.complete(out, "entry-1:1", m_now);
+        relay.fillHeartbeat(out, "entry-1:1", m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, out.upcoming.size());
     }
 
@@ -137,21 +137,21 @@
     {
         Peers relay{{InstanceName{"relay"}, "relay:1", 0.5}, {}};
         Heartbeat leaf = heartbeat("leaf");
-        leaf.from.strength = 0.1;
+        leaf.from.capacity = 0.1;
         leaf.upcoming.push_back({PoolName{"encoders"}, 1, 4});
         Heartbeat other = heartbeat("other");
-        other.from.strength = 0.5;
+        other.from.capacity = 0.5;
         other.isRelay = true;
         other.upcoming.push_back({PoolName{"encoders"}, 1, 30});
-        relay.heard(leaf, m_now);
-        relay.heard(other, m_now);
+        relay.handleHeartbeat(leaf, m_now);
+        relay.handleHeartbeat(other, m_now);
         Heartbeat toLeaf;
         toLeaf.upcoming.push_back({PoolName{"encoders"}, 1, 500});
-        relay.complete(toLeaf, "leaf:1", m_now);
+        relay.fillHeartbeat(toLeaf, "leaf:1", m_now);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{530}, toLeaf.upcoming.front().pieces);
         // Work that the other relay has reported is not sent back to it.
         Heartbeat toRelay;
-        relay.complete(toRelay, "other:1", m_now);
+        relay.fillHeartbeat(toRelay, "other:1", m_now);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, toRelay.upcoming.front().pieces);
     }
 
@@ -159,12 +159,12 @@
     {
         Peers one{{InstanceName{"one"}, "one:1", 0.5}, {}};
         Peers two{{InstanceName{"two"}, "two:1", 0.5}, {}};
-        one.heard(heartbeat("three"), m_now);
+        one.handleHeartbeat(heartbeat("three"), m_now);
         exchange(two, one);
         CPPUNIT_ASSERT(exchange(one, two));
         exchange(two, one);
         CPPUNIT_ASSERT(!exchange(one, two));
-        one.heard(heartbeat("four"), m_now);
+        one.handleHeartbeat(heartbeat("four"), m_now);
         CPPUNIT_ASSERT(exchange(one, two));
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, two.liveCount(m_now));
     }
@@ -211,24 +211,24 @@
     void queueIsReviewedOnlyAfterChange()
     {
         queueTaskBehindBusyEndpoint();
-        const std::size_t before = m_scheduler.reviews();
+        const std::size_t before = m_scheduler.scanCount();
         for (int event = 0; event < 1000; ++event) {
             m_now += std::chrono::microseconds{5};
             dispatch();
         }
-        CPPUNIT_ASSERT_EQUAL(before, m_scheduler.reviews());
+        CPPUNIT_ASSERT_EQUAL(before, m_scheduler.scanCount());
         m_now += std::chrono::milliseconds{10};
         dispatch();
-        CPPUNIT_ASSERT_EQUAL(before + 1, m_scheduler.reviews());
+        CPPUNIT_ASSERT_EQUAL(before + 1, m_scheduler.scanCount());
     }
 
     void queueIsReviewedWhenResultMemoryIsFreed()
     {
         queueTaskBehindBusyEndpoint();
-        const std::size_t before = m_scheduler.reviews();
-        m_scheduler.released("some result");
+        const std::size_t before = m_scheduler.scanCount();
+        m_scheduler.handleReleased("some result");
         dispatch();
-        CPPUNIT_ASSERT_EQUAL(before + 1, m_scheduler.reviews());
+        CPPUNIT_ASSERT_EQUAL(before + 1, m_scheduler.scanCount());
     }
 
     void queueIsReviewedWhenEndpointListChanges()
@@ -239,23 +239,23 @@
         submit(2);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, dispatch());
         list({"encoder-1", "encoder-2"});
-        m_scheduler.reviewAll();
+        m_scheduler.requestScans();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dispatch());
     }
 
     void poolsAreUpdatedWhenEndpointDisappears()
     {
         list({"encoder-1", "encoder-2"});
-        m_endpoints.started(InstanceName{"encoder-1"});
+        m_endpoints.recordStart(InstanceName{"encoder-1"});
         list({"encoder-2"});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_endpoints.usable(PoolName{"encoders"}, m_now).size());
         Effects ignored;
         // Its last call has ended, so the endpoint is removed.
-        m_endpoints.ended(InstanceName{"encoder-1"}, EndpointSign::Failed, m_now, ignored);
+        m_endpoints.recordEnd(InstanceName{"encoder-1"}, EndpointOutcome::Failed, m_now, ignored);
         CPPUNIT_ASSERT(m_endpoints.find(InstanceName{"encoder-1"}) == nullptr);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_endpoints.usable(PoolName{"encoders"}, m_now).size());
         list({});
-        CPPUNIT_ASSERT(!m_endpoints.serves(PoolName{"encoders"}));
+        CPPUNIT_ASSERT(!m_endpoints.canServe(PoolName{"encoders"}));
     }
 
 private:
@@ -263,7 +263,7 @@
     {
         Heartbeat out;
         out.from = {InstanceName{name}, name + ":1", 0.5};
-        out.ownsQueues = true;
+        out.canOwnQueues = true;
         return out;
     }
 
@@ -271,8 +271,8 @@
     bool exchange(const Peers &from, Peers &to)
     {
         Heartbeat out;
-        from.complete(out, to.self().address, m_now);
-        to.heard(out, m_now);
+        from.fillHeartbeat(out, to.self().address, m_now);
+        to.handleHeartbeat(out, m_now);
         return out.roster.has_value();
     }
 
@@ -293,7 +293,7 @@
         task.pool = PoolName{"encoders"};
         task.pieces = 4;
         task.deadline = m_now + std::chrono::seconds{4};
-        task.due = m_now + std::chrono::seconds{1};
+        task.latestStart = m_now + std::chrono::seconds{1};
         task.attempt = "attempt-" + std::to_string(id);
         task.resultBytes = 10;
         m_scheduler.submit(std::move(task), m_now);
@@ -322,13 +322,13 @@
     }
 
     TimePoint m_now{std::chrono::seconds{100}};
-    EndpointBoard m_endpoints;
+    EndpointRegistry m_endpoints;
     RetryBudget m_budget{RetryBudgetOptions{}};
     FetchPaths m_paths;
     WarmupLimiter m_warmup{[](const InstanceName &, std::uint32_t, TimePoint) {
         return 0U;
     }};
-    StageScheduler m_scheduler{m_endpoints, m_budget, m_warmup, m_paths, [](const KeptResult &) {
+    StageScheduler m_scheduler{m_endpoints, m_budget, m_warmup, m_paths, [](const StoredResult &) {
                                    return false;
                                }};
 };
--- a/test/bergamottide/serving/peerfleet.h
+++ b/test/bergamottide/serving/peerfleet.h
@@ -33,7 +33,7 @@
             const serving::PeerInfo self{InstanceName{name}, name + ":1", index % 4 == 0 ? 0.5 : 0.1,
                                          ZoneName{"zone-" + std::to_string(index % 3)}};
             m_processes.emplace(name + ":1", serving::Peers{self, {"entry-0:1", "entry-1:1", "gone:1"}});
-            m_processes.at(name + ":1").setOwnsQueues(true);
+            m_processes.at(name + ":1").setCanOwnQueues(true);
         }
     }
 
@@ -43,7 +43,7 @@
         constexpr Duration tick = std::chrono::milliseconds{50};
         for (const TimePoint end = m_now + time; m_now < end; m_now += tick) {
             for (auto &[address, process] : m_processes) {
-                for (const std::string &to : process.due(m_now)) {
+                for (const std::string &to : process.takeDueAddresses(m_now)) {
                     exchange(address, to);
                 }
             }
@@ -60,7 +60,7 @@
         stop(instance);
         run(down);
         m_processes.emplace(self.address, serving::Peers{self, {"entry-0:1", "entry-1:1", "gone:1"}});
-        m_processes.at(self.address).setOwnsQueues(true);
+        m_processes.at(self.address).setCanOwnQueues(true);
     }
 
     /*! @brief Stops a process without draining it. */
@@ -105,7 +105,7 @@
     [[nodiscard]] bool prefersReadersOfOwnZone(const std::string &address) const
     {
         const serving::Peers &process = m_processes.at(address);
-        const std::vector<std::string> readers = process.readers(m_now);
+        const std::vector<std::string> readers = process.storeReaders(m_now);
         return readers.empty() || m_processes.at(readers.front()).self().zone == process.self().zone;
     }
 
@@ -120,13 +120,13 @@
     }
 
     /*! @brief Disconnects a process from all others in both directions. */
-    void cutOff(const InstanceName &instance)
+    void disconnect(const InstanceName &instance)
     {
         m_disconnected.insert(instance);
     }
 
     /*! @brief Returns the sum of the shares of all processes in a resource. */
-    [[nodiscard]] std::uint32_t dealt(const std::string &key, std::uint32_t units) const
+    [[nodiscard]] std::uint32_t sumOfShares(const std::string &key, std::uint32_t units) const
     {
         std::uint32_t sum = 0;
         for (const auto &[address, process] : m_processes) {
@@ -162,7 +162,7 @@
     {
         std::set<std::string> out;
         for (const auto &[address, process] : m_processes) {
-            const std::vector<std::string> readers = process.readers(m_now);
+            const std::vector<std::string> readers = process.storeReaders(m_now);
             out.insert(readers.begin(), readers.end());
         }
         return out;
@@ -173,7 +173,7 @@
     {
         std::set<std::string> out;
         for (const auto &[address, process] : m_processes) {
-            if (process.readers(m_now).empty()) {
+            if (process.storeReaders(m_now).empty()) {
                 out.insert(address);
             }
         }
@@ -185,7 +185,7 @@
     {
         std::set<InstanceName> out;
         for (const auto &[address, process] : m_processes) {
-            const auto owner = process.owner(pool, m_now);
+            const auto owner = process.queueOwner(pool, m_now);
             out.insert(owner ? owner->instance : process.self().instance);
         }
         return out;
@@ -217,7 +217,7 @@
     void deliver(const std::string &from, const std::string &to)
     {
         const serving::Heartbeat message = heartbeat(from, to);
-        m_processes.at(to).heard(message, m_now);
+        m_processes.at(to).handleHeartbeat(message, m_now);
         if (!m_bytesSent) {
             return;
         }
@@ -225,7 +225,7 @@
             m_origins[to].insert(report.origin);
         }
         constexpr std::size_t headerBytes = 200;
-        const std::size_t bytes = peerwire::write(message).size() + headerBytes;
+        const std::size_t bytes = peerwire::encode(message).size() + headerBytes;
         (*m_bytesSent)[from] += bytes;
         const bool crosses = m_processes.at(from).self().zone != m_processes.at(to).self().zone;
         m_crossZoneBytes += crosses ? bytes : 0;
@@ -235,11 +235,11 @@
     {
         serving::Heartbeat out;
         out.draining = m_draining.contains(m_processes.at(from).self().instance);
-        out.ownsQueues = !out.draining;
+        out.canOwnQueues = !out.draining;
         if (m_bytesSent) {
             out.engines.push_back(report(m_processes.at(from).self().instance));
         }
-        m_processes.at(from).complete(out, to, m_now);
+        m_processes.at(from).fillHeartbeat(out, to, m_now);
         return out;
     }
 
--- a/test/bergamottide/serving/peers.cpp
+++ b/test/bergamottide/serving/peers.cpp
@@ -1,8 +1,8 @@
 #include "peerfleet.h"
 #include "servingfixture.h"
 
-#include "bergamottide/serving/endpointboard.h"
 #include "bergamottide/serving/endpointdirectory.h"
+#include "bergamottide/serving/endpointregistry.h"
 #include "bergamottide/serving/eventsplitter.h"
 #include "bergamottide/serving/peers.h"
 
@@ -54,13 +54,13 @@
     {
         Peers one{{InstanceName{"a"}, "a:1"}, {}};
         Peers other{{InstanceName{"b"}, "b:1"}, {}};
-        one.setOwnsQueues(true);
-        other.setOwnsQueues(true);
-        one.heard(heartbeat("b"), m_now);
-        other.heard(heartbeat("a"), m_now);
+        one.setCanOwnQueues(true);
+        other.setCanOwnQueues(true);
+        one.handleHeartbeat(heartbeat("b"), m_now);
+        other.handleHeartbeat(heartbeat("a"), m_now);
         for (const char *pool : {"p1", "p2", "p3", "p4"}) {
-            const bool oneKeeps = !one.owner(PoolName{pool}, m_now);
-            const bool otherKeeps = !other.owner(PoolName{pool}, m_now);
+            const bool oneKeeps = !one.queueOwner(PoolName{pool}, m_now);
+            const bool otherKeeps = !other.queueOwner(PoolName{pool}, m_now);
             CPPUNIT_ASSERT(oneKeeps != otherKeeps);
         }
     }
@@ -68,12 +68,12 @@
     void silentPeerIsNotLive()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
-        peers.heard(heartbeat("b"), m_now);
+        peers.handleHeartbeat(heartbeat("b"), m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, peers.live(m_now).size());
         CPPUNIT_ASSERT(peers.live(m_now + std::chrono::seconds{1}).empty());
         peers.markUnreachable(InstanceName{"b"}, m_now);
         CPPUNIT_ASSERT(peers.live(m_now).empty());
-        peers.heard(heartbeat("b"), m_now);
+        peers.handleHeartbeat(heartbeat("b"), m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, peers.live(m_now).size());
     }
 
@@ -82,7 +82,7 @@
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
         Heartbeat draining = heartbeat("b");
         draining.draining = true;
-        peers.heard(draining, m_now);
+        peers.handleHeartbeat(draining, m_now);
         CPPUNIT_ASSERT(peers.live(m_now).empty());
         CPPUNIT_ASSERT(peers.isLive(InstanceName{"b"}, m_now));
     }
@@ -90,32 +90,32 @@
     void addressesAreLearntFromRoster()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {"b:1", "a:1"}};
-        CPPUNIT_ASSERT((peers.due(m_now) == std::vector<std::string>{"b:1"}));
+        CPPUNIT_ASSERT((peers.takeDueAddresses(m_now) == std::vector<std::string>{"b:1"}));
         Heartbeat report = heartbeat("b");
         report.roster = {{{InstanceName{"c"}, "c:1"}, true}, {{InstanceName{"a"}, "a:1"}, true}};
         report.isRelay = true;
-        peers.heard(report, m_now);
-        CPPUNIT_ASSERT((peers.due(m_now) == std::vector<std::string>{"c:1"}));
+        peers.handleHeartbeat(report, m_now);
+        CPPUNIT_ASSERT((peers.takeDueAddresses(m_now) == std::vector<std::string>{"c:1"}));
     }
 
     void addressOfRemovedPeerIsNotProbed()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {"b:1"}};
-        peers.heard(heartbeat("b"), m_now);
-        peers.heard(heartbeat("c"), m_now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, peers.due(m_now).size());
-        CPPUNIT_ASSERT((peers.due(m_now + std::chrono::seconds{61}) == std::vector<std::string>{"b:1"}));
+        peers.handleHeartbeat(heartbeat("b"), m_now);
+        peers.handleHeartbeat(heartbeat("c"), m_now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, peers.takeDueAddresses(m_now).size());
+        CPPUNIT_ASSERT((peers.takeDueAddresses(m_now + std::chrono::seconds{61}) == std::vector<std::string>{"b:1"}));
     }
 
     void peerWithoutConfigurationOwnsNoQueue()
     {
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
         Heartbeat starting = heartbeat("b");
-        starting.ownsQueues = false;
-        peers.heard(starting, m_now);
+        starting.canOwnQueues = false;
+        peers.handleHeartbeat(starting, m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, peers.live(m_now).size());
         for (const char *pool : {"p1", "p2", "p3", "p4", "p5", "p6"}) {
-            CPPUNIT_ASSERT(!peers.owner(PoolName{pool}, m_now));
+            CPPUNIT_ASSERT(!peers.queueOwner(PoolName{pool}, m_now));
         }
     }
 
@@ -127,11 +127,11 @@
         StageTask task;
         task.pool = PoolName{"encoders"};
         task.pieces = 1;
-        task.zone = ZoneName{"a"};
-        task.due = m_now + std::chrono::seconds{1};
+        task.preferredZone = ZoneName{"a"};
+        task.latestStart = m_now + std::chrono::seconds{1};
         const Effects effects = reducer.apply(PeerTaskArrived{PeerTaskNumber{1}, task}, m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, effects.size());
-        CPPUNIT_ASSERT(std::get<AnswerPeerTask>(effects.front()).outcomes.empty());
+        CPPUNIT_ASSERT(std::get<CompletePeerTask>(effects.front()).outcomes.empty());
         const TimePoint later = m_now + std::chrono::seconds{1};
         static_cast<void>(reducer.apply(Tick{}, later));
         // A wakeup that is due right after a tick would cause a busy loop.
@@ -143,9 +143,9 @@
         m_fixture.apply(PeerTaskArrived{PeerTaskNumber{1}, encoderTask("first", 8)});
         m_fixture.apply(PeerTaskArrived{PeerTaskNumber{2}, encoderTask("second", 8)});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
-        m_fixture.apply(HeartbeatHeard{heartbeat("b")});
+        m_fixture.apply(HeartbeatReceived{heartbeat("b")});
         m_fixture.apply(DrainRequested{});
-        const auto *returned = m_fixture.effect<AnswerPeerTask>();
+        const auto *returned = m_fixture.effect<CompletePeerTask>();
         CPPUNIT_ASSERT(returned != nullptr);
         CPPUNIT_ASSERT(returned->number == PeerTaskNumber{2});
         CPPUNIT_ASSERT(returned->outcomes.empty());
@@ -157,13 +157,13 @@
         // The second task is queued, since the only encoder accepts one call at a time.
         m_fixture.apply(PeerTaskArrived{PeerTaskNumber{1}, encoderTask("first", 8)});
         m_fixture.apply(PeerTaskArrived{PeerTaskNumber{2}, encoderTask("second", 8)});
-        m_fixture.apply(HeartbeatHeard{owner});
-        m_fixture.pass(std::chrono::milliseconds{200});
-        m_fixture.apply(HeartbeatHeard{owner});
+        m_fixture.apply(HeartbeatReceived{owner});
+        m_fixture.advanceClock(std::chrono::milliseconds{200});
+        m_fixture.apply(HeartbeatReceived{owner});
         // Other processes may not know the new owner yet.
-        CPPUNIT_ASSERT(m_fixture.effect<AnswerPeerTask>() == nullptr);
-        m_fixture.pass(std::chrono::milliseconds{400});
-        const auto *returned = m_fixture.effect<AnswerPeerTask>();
+        CPPUNIT_ASSERT(m_fixture.effect<CompletePeerTask>() == nullptr);
+        m_fixture.advanceClock(std::chrono::milliseconds{400});
+        const auto *returned = m_fixture.effect<CompletePeerTask>();
         CPPUNIT_ASSERT(returned != nullptr);
         CPPUNIT_ASSERT(returned->number == PeerTaskNumber{2});
         CPPUNIT_ASSERT(returned->outcomes.empty());
@@ -172,15 +172,15 @@
     void taskReturnedByFormerOwnerDoesNotMarkItDead()
     {
         const Heartbeat owner = heartbeat(findOwner().text());
-        m_fixture.apply(HeartbeatHeard{owner});
+        m_fixture.apply(HeartbeatReceived{owner});
         RequestArrived arrival = m_fixture.arrival("/draft/1");
         arrival.request.pieces = {1};
         m_fixture.apply(arrival);
-        const StageTaskId task = m_fixture.effect<HandTask>()->task.id;
+        const StageTaskId task = m_fixture.effect<DelegateTask>()->task.id;
         Heartbeat leaves = owner;
-        leaves.ownsQueues = false;
-        m_fixture.apply(HeartbeatHeard{leaves});
-        m_fixture.apply(HandedTaskEnded{task, owner.from.instance, {}, true});
+        leaves.canOwnQueues = false;
+        m_fixture.apply(HeartbeatReceived{leaves});
+        m_fixture.apply(DelegatedTaskEnded{task, owner.from.instance, {}, true});
         // The task runs locally, and the peer still counts as alive.
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_fixture.reducer().livePeers(m_fixture.now()).size());
@@ -192,17 +192,17 @@
         arrival.request.pieces = {2};
         m_fixture.apply(arrival);
         const auto *call = m_fixture.effect<StartStageCall>();
-        m_fixture.apply(StageCallEnded{call->call, StageCallEnd::Answered, {{"h-1", {}}, {"h-2", {}}}});
+        m_fixture.apply(StageCallEnded{call->call, StageCallStatus::Answered, {{"h-1", {}}, {"h-2", {}}}});
         Heartbeat owner = heartbeat(findOwner().text());
         owner.incarnation = 7;
-        m_fixture.apply(HeartbeatHeard{owner});
+        m_fixture.apply(HeartbeatReceived{owner});
         arrival = m_fixture.arrival("/draft/2", 2);
         arrival.request.pieces = {1};
         m_fixture.apply(arrival);
-        const auto *handed = m_fixture.effect<HandTask>();
+        const auto *handed = m_fixture.effect<DelegateTask>();
         CPPUNIT_ASSERT(handed != nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, handed->task.held.size());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, handed->task.held.front().bytes);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, handed->task.heldResults.size());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, handed->task.heldResults.front().bytes);
     }
 
     void upcomingWorkIsReported()
@@ -215,7 +215,7 @@
         CPPUNIT_ASSERT(report.upcoming.front().pool == PoolName{"rerankers"});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, report.upcoming.front().pieces);
         Peers peers{{InstanceName{"a"}, "a:1"}, {}};
-        peers.heard(report, m_now);
+        peers.handleHeartbeat(report, m_now);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, peers.upcomingPieces(PoolName{"rerankers"}, 0, 0, m_now));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, peers.upcomingPieces(PoolName{"encoders"}, 0, 0, m_now));
     }
@@ -223,14 +223,14 @@
     void taskOfFailedOwnerRunsLocally()
     {
         const InstanceName owner = findOwner();
-        m_fixture.apply(HeartbeatHeard{heartbeat(owner.text())});
+        m_fixture.apply(HeartbeatReceived{heartbeat(owner.text())});
         RequestArrived arrival = m_fixture.arrival("/draft/1");
         arrival.request.pieces = {1};
         m_fixture.apply(arrival);
-        const auto *handed = m_fixture.effect<HandTask>();
+        const auto *handed = m_fixture.effect<DelegateTask>();
         CPPUNIT_ASSERT(handed != nullptr);
         const StageTaskId task = handed->task.id;
-        m_fixture.apply(HandedTaskEnded{task, owner, {}});
+        m_fixture.apply(DelegatedTaskEnded{task, owner, {}});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
     }
 
@@ -240,16 +240,16 @@
         task.pool = PoolName{"encoders"};
         task.attempt = "attempt";
         task.pieces = 2;
-        task.due = m_fixture.now() + std::chrono::seconds{1};
+        task.latestStart = m_fixture.now() + std::chrono::seconds{1};
         task.deadline = m_fixture.now() + std::chrono::seconds{5};
         task.resultBytes = 15'000;
         m_fixture.apply(PeerTaskArrived{PeerTaskNumber{1}, task});
         const auto *call = m_fixture.effect<StartStageCall>();
         CPPUNIT_ASSERT(call != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, call->items.size());
-        m_fixture.apply(StageCallEnded{call->call, StageCallEnd::Answered, {{"h-1", {}}}});
-        m_fixture.apply(PeerTaskGone{PeerTaskNumber{1}});
-        const auto *freed = m_fixture.effect<FreeResults>();
+        m_fixture.apply(StageCallEnded{call->call, StageCallStatus::Answered, {{"h-1", {}}}});
+        m_fixture.apply(PeerTaskCancelled{PeerTaskNumber{1}});
+        const auto *freed = m_fixture.effect<ReleaseResults>();
         CPPUNIT_ASSERT(freed != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::string{"h-1"}, freed->handles.front());
     }
@@ -258,14 +258,14 @@
     {
         EndpointDirectory directory;
         directory.put(record("e"), m_now);
-        static_cast<void>(directory.takeChange(m_now));
-        directory.lost(m_now);
+        static_cast<void>(directory.takeChangedList(m_now));
+        directory.beginListOutage(m_now);
         m_now += std::chrono::seconds{5};
-        directory.regained(m_now);
+        directory.endListOutage(m_now);
         directory.remove(InstanceName{"e"}, m_now);
-        CPPUNIT_ASSERT(directory.takeChange(m_now) == nullptr);
+        CPPUNIT_ASSERT(directory.takeChangedList(m_now) == nullptr);
         m_now += std::chrono::milliseconds{2300};
-        const auto list = directory.takeChange(m_now);
+        const auto list = directory.takeChangedList(m_now);
         CPPUNIT_ASSERT(list != nullptr);
         CPPUNIT_ASSERT(list->empty());
     }
@@ -274,25 +274,25 @@
     {
         EndpointDirectory directory;
         directory.put(record("e"), m_now);
-        directory.lost(m_now);
+        directory.beginListOutage(m_now);
         m_now += std::chrono::seconds{9};
-        directory.regained(m_now);
+        directory.endListOutage(m_now);
         m_now += std::chrono::milliseconds{500};
         directory.remove(InstanceName{"e"}, m_now);
-        CPPUNIT_ASSERT(directory.takeChange(m_now)->empty());
+        CPPUNIT_ASSERT(directory.takeChangedList(m_now)->empty());
     }
 
     void drainingEndpointHasNoGracePeriod()
     {
         EndpointDirectory directory;
         directory.put(record("e", true), m_now);
-        directory.lost(m_now);
+        directory.beginListOutage(m_now);
         m_now += std::chrono::seconds{5};
-        directory.regained(m_now);
+        directory.endListOutage(m_now);
         directory.put(record("e", false), m_now);
-        CPPUNIT_ASSERT(directory.takeChange(m_now)->front().draining);
+        CPPUNIT_ASSERT(directory.takeChangedList(m_now)->front().draining);
         directory.remove(InstanceName{"e"}, m_now);
-        CPPUNIT_ASSERT(directory.takeChange(m_now)->empty());
+        CPPUNIT_ASSERT(directory.takeChangedList(m_now)->empty());
     }
 
     void removalWithoutOutageTakesEffectAtOnce()
@@ -300,7 +300,7 @@
         EndpointDirectory directory;
         directory.put(record("e"), m_now);
         directory.remove(InstanceName{"e"}, m_now);
-        CPPUNIT_ASSERT(directory.takeChange(m_now)->empty());
+        CPPUNIT_ASSERT(directory.takeChangedList(m_now)->empty());
     }
 
     void restartedEndpointNoLongerDrains()
@@ -308,13 +308,13 @@
         EndpointDirectory directory;
         EndpointRecord record{InstanceName{"a"}, PoolName{"p"}, "a:1", ZoneName{"z"}, 1, true, 1};
         directory.put(record, m_now);
-        static_cast<void>(directory.takeChange(m_now));
+        static_cast<void>(directory.takeChangedList(m_now));
         record.draining = false;
         directory.put(record, m_now);
-        CPPUNIT_ASSERT(directory.takeChange(m_now) == nullptr);
+        CPPUNIT_ASSERT(directory.takeChangedList(m_now) == nullptr);
         record.incarnation = 2;
         directory.put(record, m_now);
-        const auto list = directory.takeChange(m_now);
+        const auto list = directory.takeChangedList(m_now);
         CPPUNIT_ASSERT(list != nullptr);
         CPPUNIT_ASSERT(!list->front().draining);
     }
@@ -323,27 +323,27 @@
     {
         EndpointDirectory directory;
         directory.put({InstanceName{"a"}, PoolName{"p"}, "a:1", ZoneName{"z"}, 1, false, 1}, m_now);
-        directory.lost(m_now);
-        static_cast<void>(directory.takeChange(m_now));
-        directory.discard(InstanceName{"a"});
-        CPPUNIT_ASSERT(directory.takeChange(m_now)->empty());
+        directory.beginListOutage(m_now);
+        static_cast<void>(directory.takeChangedList(m_now));
+        directory.removeAtOnce(InstanceName{"a"});
+        CPPUNIT_ASSERT(directory.takeChangedList(m_now)->empty());
     }
 
     void restartedEndpointIsReset()
     {
-        EndpointBoard board;
+        EndpointRegistry board;
         Effects effects;
         const EndpointRecord record{InstanceName{"a"}, PoolName{"p"}, "a:1", ZoneName{"z"}, 1, false, 1};
         board.update({record}, m_now, effects);
-        board.started(record.instance);
-        board.told(record.instance, {5, 5, 4}, m_now);
+        board.recordStart(record.instance);
+        board.recordLoad(record.instance, {5, 5, 4}, m_now);
         board.find(record.instance)->resultBytes = 100;
         board.find(record.instance)->slowness = 4.0;
         EndpointRecord restarted = record;
         restarted.incarnation = 2;
         board.update({restarted}, m_now, effects);
         const Endpoint &endpoint = *board.find(record.instance);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, endpoint.takenBytes());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, endpoint.usedResultBytes());
         CPPUNIT_ASSERT_EQUAL(1.0, endpoint.slowness);
         CPPUNIT_ASSERT_EQUAL(0U, endpoint.load.running);
         // The run stays in progress until its connection is closed.
@@ -353,32 +353,33 @@
     void splitterBuffersIncompleteEvents()
     {
         EventSplitter splitter;
-        CPPUNIT_ASSERT_EQUAL(std::string{}, splitter.take("id: 1\ndata"));
-        CPPUNIT_ASSERT(splitter.inEvent());
-        CPPUNIT_ASSERT_EQUAL(std::string{"id: 1\ndata: x\n\n"}, splitter.take(": x\n\n"));
-        CPPUNIT_ASSERT(!splitter.inEvent());
-        CPPUNIT_ASSERT(splitter.last() == std::optional<std::uint64_t>{1});
+        CPPUNIT_ASSERT_EQUAL(std::string{}, splitter.append("id: 1\ndata"));
+        CPPUNIT_ASSERT(splitter.hasPartialEvent());
+        CPPUNIT_ASSERT_EQUAL(std::string{"id: 1\ndata: x\n\n"}, splitter.append(": x\n\n"));
+        CPPUNIT_ASSERT(!splitter.hasPartialEvent());
+        CPPUNIT_ASSERT(splitter.lastEventId() == std::optional<std::uint64_t>{1});
     }
 
     void splitterDropsForwardedEventsAndDetectsGaps()
     {
         EventSplitter splitter{3};
-        CPPUNIT_ASSERT_EQUAL(std::string{"id: 4\ndata: d\n\n"}, splitter.take("id: 3\ndata: c\n\nid: 4\ndata: d\n\n"));
-        static_cast<void>(splitter.take("id: 6\ndata: f\n\n"));
-        CPPUNIT_ASSERT(splitter.isBroken());
+        CPPUNIT_ASSERT_EQUAL(std::string{"id: 4\ndata: d\n\n"},
+                             splitter.append("id: 3\ndata: c\n\nid: 4\ndata: d\n\n"));
+        static_cast<void>(splitter.append("id: 6\ndata: f\n\n"));
+        CPPUNIT_ASSERT(splitter.hasGap());
     }
 
     void strongestProcessesAreRelaysAndOwnQueues()
     {
         Peers weak{{InstanceName{"weak"}, "weak:1", 0.05}, {}};
-        weak.setOwnsQueues(true);
+        weak.setCanOwnQueues(true);
         CPPUNIT_ASSERT(weak.isRelay(m_now));
         Heartbeat strong = heartbeat("strong");
-        strong.from.strength = 0.5;
-        weak.heard(strong, m_now);
+        strong.from.capacity = 0.5;
+        weak.handleHeartbeat(strong, m_now);
         CPPUNIT_ASSERT(!weak.isRelay(m_now));
         for (const char *pool : {"p1", "p2", "p3", "p4", "p5", "p6"}) {
-            CPPUNIT_ASSERT(weak.owner(PoolName{pool}, m_now).value().instance == InstanceName{"strong"});
+            CPPUNIT_ASSERT(weak.queueOwner(PoolName{pool}, m_now).value().instance == InstanceName{"strong"});
         }
     }
 
@@ -423,12 +424,12 @@
             Peers relay{{InstanceName{"relay"}, "relay:1"}, {}};
             for (int number = 0; number < size; ++number) {
                 Heartbeat other = heartbeat("entry-" + std::to_string(number));
-                other.from.strength = 0.1;
+                other.from.capacity = 0.1;
                 other.engines.push_back({other.from.instance, 1, 1, {}, {{InstanceName{"engine"}, {}, {}}}});
-                relay.heard(other, m_now);
+                relay.handleHeartbeat(other, m_now);
             }
             Heartbeat out;
-            relay.complete(out, "entry-0:1", m_now);
+            relay.fillHeartbeat(out, "entry-0:1", m_now);
             reportCount[size] = out.engines.size();
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{15}, reportCount[16]);
@@ -456,12 +457,12 @@
         Heartbeat relay = heartbeat("relay");
         relay.isRelay = true;
         relay.roster = {{{InstanceName{"owner"}, "owner:1"}, true}};
-        peers.heard(relay, m_now);
+        peers.handleHeartbeat(relay, m_now);
         CPPUNIT_ASSERT(peers.isLive(InstanceName{"owner"}, m_now));
         peers.markUnreachable(InstanceName{"owner"}, m_now);
         CPPUNIT_ASSERT(!peers.isLive(InstanceName{"owner"}, m_now));
         m_now += std::chrono::seconds{1};
-        peers.heard(relay, m_now);
+        peers.handleHeartbeat(relay, m_now);
         CPPUNIT_ASSERT(peers.isLive(InstanceName{"owner"}, m_now));
     }
 
@@ -470,7 +471,7 @@
     {
         Heartbeat out;
         out.from = {InstanceName{name}, name + ":1"};
-        out.ownsQueues = true;
+        out.canOwnQueues = true;
         return out;
     }
 
@@ -480,7 +481,7 @@
         task.pool = PoolName{"encoders"};
         task.attempt = attempt;
         task.pieces = pieces;
-        task.due = m_now + std::chrono::seconds{1};
+        task.latestStart = m_now + std::chrono::seconds{1};
         task.deadline = m_now + std::chrono::seconds{5};
         task.resultBytes = 1000;
         return task;
@@ -497,9 +498,9 @@
         for (int number = 2;; ++number) {
             const std::string name = "entry-" + std::to_string(number);
             Peers peers{{InstanceName{"entry-1"}, "10.0.0.9:1"}, {}};
-            peers.setOwnsQueues(true);
-            peers.heard(heartbeat(name), m_now);
-            if (peers.owner(PoolName{"encoders"}, m_now)) {
+            peers.setCanOwnQueues(true);
+            peers.handleHeartbeat(heartbeat(name), m_now);
+            if (peers.queueOwner(PoolName{"encoders"}, m_now)) {
                 return InstanceName{name};
             }
         }
--- a/test/bergamottide/serving/retrybudget.cpp
+++ b/test/bergamottide/serving/retrybudget.cpp
@@ -54,7 +54,7 @@
 private:
     [[nodiscard]] static RetryBudgetOptions options()
     {
-        return {.ratio = 0.2, .slack = 50.0, .window = std::chrono::seconds{10}, .sharers = 16};
+        return {.ratio = 0.2, .slack = 50.0, .window = std::chrono::seconds{10}, .assumedProcesses = 16};
     }
 
     /*! @brief Returns the budget of a process that has known its peers for more than one window. */
@@ -69,7 +69,7 @@
     [[nodiscard]] int spend(RetryBudget &budget) const
     {
         int spent = 0;
-        while (budget.take(PoolName{"pool"}, m_now)) {
+        while (budget.tryTakeRetry(PoolName{"pool"}, m_now)) {
             ++spent;
         }
         return spent;
--- a/test/bergamottide/serving/servingfixture.h
+++ b/test/bergamottide/serving/servingfixture.h
@@ -26,8 +26,8 @@
         using namespace serving;
         auto out = std::make_shared<Catalog>();
         out->version = 1;
-        out->needsKeys = true;
-        out->workspaceOfKey["key"] = Workspace{WorkspaceName{"north"}, 0};
+        out->requiresApiKey = true;
+        out->workspaceByApiKey["key"] = Workspace{WorkspaceName{"north"}, 0};
         out->routes.push_back(route("order", "/order/", RouteKind::NonIdempotent, "desk"));
         out->routes.push_back(route("lookup", "/lookup/", RouteKind::Idempotent, "desk"));
         out->routes.back().maxAttempts = 2;
@@ -46,7 +46,7 @@
         out->pools["engines"] = Pool{PoolName{"engines"}, 100, {}, EngineSpec{8, 100'000}};
         out->pools["encoders"] = Pool{PoolName{"encoders"}, 100, batch(), {}};
         out->pools["rerankers"] = Pool{PoolName{"rerankers"}, 100, batch(), {}};
-        out->index();
+        out->buildIndex();
         return out;
     }
 
@@ -78,7 +78,7 @@
         request.host = "example";
         request.path = path;
         request.target = path;
-        request.key = "key";
+        request.apiKey = "key";
         request.deadline = std::chrono::seconds{4};
         return {request};
     }
@@ -96,7 +96,7 @@
     }
 
     /*! @brief Advances the clock and applies a tick. */
-    void pass(Duration time)
+    void advanceClock(Duration time)
     {
         m_now += time;
         apply(serving::Tick{});
@@ -129,11 +129,11 @@
         return m_now;
     }
 
-    [[nodiscard]] static serving::EndpointAnswerHead head(int status = 200)
+    [[nodiscard]] static serving::EndpointResponseHead responseHead(int status = 200)
     {
-        serving::EndpointAnswerHead out;
+        serving::EndpointResponseHead out;
         out.status = status;
-        out.sealed = true;
+        out.isSigned = true;
         return out;
     }
 
--- a/test/bergamottide/serving/servingreducer.cpp
+++ b/test/bergamottide/serving/servingreducer.cpp
@@ -39,15 +39,15 @@
         arrival.request.pieces = {1, 1};
         m_fixture.apply(arrival);
         const RunNumber first = completeStages(2);
-        m_fixture.apply(RunAnswered{first, ServingFixture::head()});
-        m_fixture.apply(RunReceived{first, "id: 0\ndata: a\n\n"});
-        CPPUNIT_ASSERT(m_fixture.effect<FreeResults>() != nullptr);
+        m_fixture.apply(RunHeadReceived{first, ServingFixture::responseHead()});
+        m_fixture.apply(RunBodyReceived{first, "id: 0\ndata: a\n\n"});
+        CPPUNIT_ASSERT(m_fixture.effect<ReleaseResults>() != nullptr);
         m_fixture.apply(RunFailed{first, RunFailure::Broken});
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
         completeStages(2);
         const auto *start = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(start != nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::string{"0"}, start->lastEvent);
+        CPPUNIT_ASSERT_EQUAL(std::string{"0"}, start->lastEventId);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, start->inputs.size());
     }
 
@@ -56,16 +56,16 @@
     {
         RequestArrived arrival = m_fixture.arrival("/report/1");
         arrival.request.pieces = {1, 1};
-        m_fixture.apply(HeartbeatHeard{queueOwnerWithWait(std::chrono::milliseconds{1400})});
+        m_fixture.apply(HeartbeatReceived{queueOwnerWithWait(std::chrono::milliseconds{1400})});
         m_fixture.apply(arrival);
-        CPPUNIT_ASSERT(errorKind() == AnswerKind::Unavailable);
+        CPPUNIT_ASSERT(errorKind() == ErrorKind::Unavailable);
         // The suggested delay follows the wait, but is at most a third of the remaining time.
-        CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>()->retryAfter > std::chrono::milliseconds{500});
-        CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>()->retryAfter <= std::chrono::milliseconds{1000});
-        m_fixture.apply(HeartbeatHeard{queueOwnerWithWait(std::chrono::milliseconds{100})});
+        CPPUNIT_ASSERT(m_fixture.effect<SendErrorResponse>()->retryAfter > std::chrono::milliseconds{500});
+        CPPUNIT_ASSERT(m_fixture.effect<SendErrorResponse>()->retryAfter <= std::chrono::milliseconds{1000});
+        m_fixture.apply(HeartbeatReceived{queueOwnerWithWait(std::chrono::milliseconds{100})});
         arrival.request.call = CallId{2};
         m_fixture.apply(arrival);
-        CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>() == nullptr);
+        CPPUNIT_ASSERT(m_fixture.effect<SendErrorResponse>() == nullptr);
     }
 
     void missingInputsRestartStages()
@@ -74,10 +74,10 @@
         arrival.request.pieces = {1, 1};
         m_fixture.apply(arrival);
         const RunNumber first = completeStages(2);
-        EndpointAnswerHead head = ServingFixture::head(409);
+        EndpointResponseHead head = ServingFixture::responseHead(409);
         head.notExecuted = true;
-        head.inputsGone = true;
-        m_fixture.apply(RunAnswered{first, head});
+        head.areInputsMissing = true;
+        m_fixture.apply(RunHeadReceived{first, head});
         CPPUNIT_ASSERT(m_fixture.effect<StartRun>() == nullptr);
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() != nullptr);
     }
@@ -85,24 +85,24 @@
     void plainResponseIsForwardedUnchanged()
     {
         const RunNumber run = startRequest("/order/1");
-        m_fixture.apply(RunAnswered{run, ServingFixture::head(201)});
-        m_fixture.apply(RunReceived{run, "body"});
-        m_fixture.apply(RunEnded{run});
-        const auto *answer = m_fixture.effect<AnswerCaller>();
+        m_fixture.apply(RunHeadReceived{run, ServingFixture::responseHead(201)});
+        m_fixture.apply(RunBodyReceived{run, "body"});
+        m_fixture.apply(RunCompleted{run});
+        const auto *answer = m_fixture.effect<SendResponse>();
         CPPUNIT_ASSERT(answer != nullptr);
         CPPUNIT_ASSERT_EQUAL(201, answer->status);
         CPPUNIT_ASSERT_EQUAL(std::string{"body"}, answer->body);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_fixture.reducer().inProgress());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_fixture.reducer().requestsInProgress());
     }
 
     void unknownRouteAndKeyAreRejected()
     {
         m_fixture.apply(m_fixture.arrival("/nowhere/1"));
-        CPPUNIT_ASSERT(errorKind() == AnswerKind::NoRoute);
+        CPPUNIT_ASSERT(errorKind() == ErrorKind::NoRoute);
         RequestArrived arrival = m_fixture.arrival("/order/1", 2);
-        arrival.request.key = "other";
+        arrival.request.apiKey = "other";
         m_fixture.apply(arrival);
-        CPPUNIT_ASSERT(errorKind() == AnswerKind::UnknownKey);
+        CPPUNIT_ASSERT(errorKind() == ErrorKind::UnknownKey);
     }
 
     void requestWithoutCatalogIsUnavailable()
@@ -110,8 +110,8 @@
         ServingReducer reducer{{}};
         bool rejected = false;
         for (const Effect &effect : reducer.apply(m_fixture.arrival("/order/1"), m_fixture.now())) {
-            if (const auto *one = std::get_if<RefuseCaller>(&effect)) {
-                CPPUNIT_ASSERT(one->kind == AnswerKind::Unavailable);
+            if (const auto *one = std::get_if<SendErrorResponse>(&effect)) {
+                CPPUNIT_ASSERT(one->kind == ErrorKind::Unavailable);
                 rejected = true;
             }
         }
@@ -121,7 +121,7 @@
     void nonIdempotentCallIsNotRetriedAfterConnectionLoss()
     {
         m_fixture.apply(RunFailed{startRequest("/order/1"), RunFailure::Broken});
-        CPPUNIT_ASSERT(errorKind() == AnswerKind::BadGateway);
+        CPPUNIT_ASSERT(errorKind() == ErrorKind::BadGateway);
         CPPUNIT_ASSERT(m_fixture.effect<StartRun>() == nullptr);
     }
 
@@ -129,9 +129,9 @@
     {
         const RunNumber run = startRequest("/order/1");
         const InstanceName first = m_lastEndpoint;
-        EndpointAnswerHead head = ServingFixture::head(503);
+        EndpointResponseHead head = ServingFixture::responseHead(503);
         head.notExecuted = true;
-        m_fixture.apply(RunAnswered{run, head});
+        m_fixture.apply(RunHeadReceived{run, head});
         const auto *retry = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(retry != nullptr);
         CPPUNIT_ASSERT(retry->instance != first);
@@ -141,8 +141,8 @@
     {
         const RunNumber run = startRequest("/lookup/1");
         const InstanceName first = m_lastEndpoint;
-        m_fixture.apply(RunAnswered{run, ServingFixture::head(500)});
-        m_fixture.apply(RunEnded{run});
+        m_fixture.apply(RunHeadReceived{run, ServingFixture::responseHead(500)});
+        m_fixture.apply(RunCompleted{run});
         const auto *retry = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(retry != nullptr);
         CPPUNIT_ASSERT(retry->instance != first);
@@ -151,46 +151,46 @@
     void requestWithoutResponseTimesOutAsPossiblyExecuted()
     {
         startRequest("/order/1");
-        m_fixture.pass(std::chrono::seconds{3});
-        CPPUNIT_ASSERT(errorKind() == AnswerKind::TimedOut);
+        m_fixture.advanceClock(std::chrono::seconds{3});
+        CPPUNIT_ASSERT(errorKind() == ErrorKind::TimedOut);
         CPPUNIT_ASSERT(m_fixture.effect<CancelRun>() != nullptr);
     }
 
     void requestIsUnavailableIfNoEndpointIsReachable()
     {
-        m_fixture.apply(RunFailed{startRequest("/order/1"), RunFailure::Unreached});
+        m_fixture.apply(RunFailed{startRequest("/order/1"), RunFailure::ConnectFailed});
         const auto *retry = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(retry != nullptr);
-        m_fixture.apply(RunFailed{retry->run, RunFailure::Unreached});
-        CPPUNIT_ASSERT(errorKind() == AnswerKind::Unavailable);
-        CPPUNIT_ASSERT(m_fixture.effect<RefuseCaller>()->retryAfter > Duration::zero());
+        m_fixture.apply(RunFailed{retry->run, RunFailure::ConnectFailed});
+        CPPUNIT_ASSERT(errorKind() == ErrorKind::Unavailable);
+        CPPUNIT_ASSERT(m_fixture.effect<SendErrorResponse>()->retryAfter > Duration::zero());
     }
 
     void unsignedSuccessIsNotForwarded()
     {
         const RunNumber run = startRequest("/order/1");
-        EndpointAnswerHead head = ServingFixture::head();
-        head.sealed = false;
-        m_fixture.apply(RunAnswered{run, head});
-        CPPUNIT_ASSERT(errorKind() == AnswerKind::BadGateway);
+        EndpointResponseHead head = ServingFixture::responseHead();
+        head.isSigned = false;
+        m_fixture.apply(RunHeadReceived{run, head});
+        CPPUNIT_ASSERT(errorKind() == ErrorKind::BadGateway);
     }
 
     void responseToAnotherRequestIsNotForwarded()
     {
         const RunNumber run = startRequest("/order/1");
-        EndpointAnswerHead head = ServingFixture::head();
-        head.foreign = true;
-        m_fixture.apply(RunAnswered{run, head});
-        CPPUNIT_ASSERT(errorKind() == AnswerKind::BadGateway);
+        EndpointResponseHead head = ServingFixture::responseHead();
+        head.isForOtherRequest = true;
+        m_fixture.apply(RunHeadReceived{run, head});
+        CPPUNIT_ASSERT(errorKind() == ErrorKind::BadGateway);
     }
 
     void interruptedStreamIsAborted()
     {
         const RunNumber run = startRequest("/chat/1");
-        m_fixture.apply(RunAnswered{run, ServingFixture::head()});
+        m_fixture.apply(RunHeadReceived{run, ServingFixture::responseHead()});
         CPPUNIT_ASSERT(m_fixture.effect<BeginStream>() != nullptr);
-        m_fixture.apply(RunReceived{run, "id: 1\ndata: a\n\nid: 2\nda"});
-        CPPUNIT_ASSERT_EQUAL(std::string{"id: 1\ndata: a\n\n"}, m_fixture.effect<StreamEvents>()->bytes);
+        m_fixture.apply(RunBodyReceived{run, "id: 1\ndata: a\n\nid: 2\nda"});
+        CPPUNIT_ASSERT_EQUAL(std::string{"id: 1\ndata: a\n\n"}, m_fixture.effect<SendStreamEvents>()->bytes);
         m_fixture.apply(RunFailed{run, RunFailure::Broken});
         CPPUNIT_ASSERT(m_fixture.effect<AbortStream>() != nullptr);
         CPPUNIT_ASSERT(m_fixture.effect<StartRun>() == nullptr);
@@ -199,18 +199,18 @@
     void resumableStreamContinuesAfterItsLastCompleteEvent()
     {
         const RunNumber run = startRequest("/summary/1");
-        m_fixture.apply(RunAnswered{run, ServingFixture::head()});
-        m_fixture.apply(RunReceived{run, "id: 1\ndata: a\n\nid: 2\nda"});
+        m_fixture.apply(RunHeadReceived{run, ServingFixture::responseHead()});
+        m_fixture.apply(RunBodyReceived{run, "id: 1\ndata: a\n\nid: 2\nda"});
         m_fixture.apply(RunFailed{run, RunFailure::Broken});
         const auto *retry = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(retry != nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::string{"1"}, retry->lastEvent);
+        CPPUNIT_ASSERT_EQUAL(std::string{"1"}, retry->lastEventId);
         const RunNumber second = retry->run;
-        m_fixture.apply(RunAnswered{second, ServingFixture::head()});
+        m_fixture.apply(RunHeadReceived{second, ServingFixture::responseHead()});
         CPPUNIT_ASSERT(m_fixture.effect<BeginStream>() == nullptr);
-        m_fixture.apply(RunReceived{second, "id: 2\ndata: b\n\n"});
-        CPPUNIT_ASSERT_EQUAL(std::string{"id: 2\ndata: b\n\n"}, m_fixture.effect<StreamEvents>()->bytes);
-        m_fixture.apply(RunEnded{second});
+        m_fixture.apply(RunBodyReceived{second, "id: 2\ndata: b\n\n"});
+        CPPUNIT_ASSERT_EQUAL(std::string{"id: 2\ndata: b\n\n"}, m_fixture.effect<SendStreamEvents>()->bytes);
+        m_fixture.apply(RunCompleted{second});
         CPPUNIT_ASSERT(m_fixture.effect<FinishStream>() != nullptr);
     }
 
@@ -218,8 +218,8 @@
     {
         startRequest("/chat/1");
         const InstanceName unresponsive = m_lastEndpoint;
-        m_fixture.pass(std::chrono::milliseconds{1100});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_fixture.reducer().inProgress());
+        m_fixture.advanceClock(std::chrono::milliseconds{1100});
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_fixture.reducer().requestsInProgress());
         for (std::uint64_t call = 2; call < 12; ++call) {
             m_fixture.apply(m_fixture.arrival("/chat/1", call));
             CPPUNIT_ASSERT(m_fixture.effect<StartRun>()->instance != unresponsive);
@@ -230,7 +230,7 @@
     {
         startRequest("/lookup/1");
         const InstanceName unresponsive = m_lastEndpoint;
-        m_fixture.pass(std::chrono::milliseconds{1100});
+        m_fixture.advanceClock(std::chrono::milliseconds{1100});
         const auto *retry = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(retry != nullptr);
         CPPUNIT_ASSERT(retry->instance != unresponsive);
@@ -240,9 +240,9 @@
     void callerDisconnectCancelsItsRun()
     {
         startRequest("/chat/1");
-        m_fixture.apply(CallerLeft{CallId{1}});
+        m_fixture.apply(CallerDisconnected{CallId{1}});
         CPPUNIT_ASSERT(m_fixture.effect<CancelRun>() != nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_fixture.reducer().inProgress());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_fixture.reducer().requestsInProgress());
     }
 
     void drainAcceptsRequestsOnlyAtItsStart()
@@ -250,9 +250,9 @@
         m_fixture.apply(DrainRequested{});
         m_fixture.apply(m_fixture.arrival("/order/1"));
         CPPUNIT_ASSERT(m_fixture.effect<StartRun>() != nullptr);
-        m_fixture.pass(std::chrono::milliseconds{2600});
+        m_fixture.advanceClock(std::chrono::milliseconds{2600});
         m_fixture.apply(m_fixture.arrival("/order/1", 2));
-        CPPUNIT_ASSERT(errorKind() == AnswerKind::Unavailable);
+        CPPUNIT_ASSERT(errorKind() == ErrorKind::Unavailable);
     }
 
     void stageResultsAreFreedAtTheFirstEvent()
@@ -265,14 +265,14 @@
         CPPUNIT_ASSERT(call != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, call->items.size());
         CPPUNIT_ASSERT_EQUAL(std::string{"input"}, call->items.front().key);
-        m_fixture.apply(StageCallEnded{call->call, StageCallEnd::Answered, {{"h-1", {}}, {"h-2", {}}}});
+        m_fixture.apply(StageCallEnded{call->call, StageCallStatus::Answered, {{"h-1", {}}, {"h-2", {}}}});
         const auto *run = m_fixture.effect<StartRun>();
         CPPUNIT_ASSERT(run != nullptr);
         CPPUNIT_ASSERT((run->inputs == std::vector<std::string>{"h-1", "h-2"}));
         const RunNumber number = run->run;
-        m_fixture.apply(RunAnswered{number, ServingFixture::head()});
-        m_fixture.apply(RunReceived{number, "id: 1\ndata: a\n\n"});
-        const auto *freedResults = m_fixture.effect<FreeResults>();
+        m_fixture.apply(RunHeadReceived{number, ServingFixture::responseHead()});
+        m_fixture.apply(RunBodyReceived{number, "id: 1\ndata: a\n\n"});
+        const auto *freedResults = m_fixture.effect<ReleaseResults>();
         CPPUNIT_ASSERT(freedResults != nullptr);
         CPPUNIT_ASSERT((freedResults->handles == std::vector<std::string>{"h-1", "h-2"}));
     }
@@ -294,7 +294,7 @@
         for (int stage = 0; stage < stages; ++stage) {
             const auto *call = m_fixture.effect<StartStageCall>();
             CPPUNIT_ASSERT(call != nullptr);
-            StageCallEnded ended{call->call, StageCallEnd::Answered, {}};
+            StageCallEnded ended{call->call, StageCallStatus::Answered, {}};
             for (std::size_t item = 0; item < call->items.size(); ++item) {
                 ended.results.push_back({"h-" + std::to_string(item), PieceFailure::None});
             }
@@ -309,22 +309,22 @@
     [[nodiscard]] Heartbeat queueOwnerWithWait(Duration wait) const
     {
         Heartbeat out;
-        out.ownsQueues = true;
+        out.canOwnQueues = true;
         out.waits.push_back({PoolName{"encoders"}, 0, wait, std::chrono::milliseconds{20}, 4.0});
         for (int number = 2;; ++number) {
             out.from = {InstanceName{"entry-" + std::to_string(number)}, "10.0.0.8:1"};
             Peers peers{{InstanceName{"entry-1"}, "10.0.0.9:1"}, {}};
-            peers.setOwnsQueues(true);
-            peers.heard(out, m_fixture.now());
-            if (peers.owner(PoolName{"encoders"}, m_fixture.now())) {
+            peers.setCanOwnQueues(true);
+            peers.handleHeartbeat(out, m_fixture.now());
+            if (peers.queueOwner(PoolName{"encoders"}, m_fixture.now())) {
                 return out;
             }
         }
     }
 
-    [[nodiscard]] std::optional<AnswerKind> errorKind() const
+    [[nodiscard]] std::optional<ErrorKind> errorKind() const
     {
-        const auto *rejected = m_fixture.effect<RefuseCaller>();
+        const auto *rejected = m_fixture.effect<SendErrorResponse>();
         return rejected == nullptr ? std::nullopt : std::optional{rejected->kind};
     }
 
--- a/test/bergamottide/serving/stageforecast.cpp
+++ b/test/bergamottide/serving/stageforecast.cpp
@@ -33,15 +33,15 @@
 
     void callsOfManyItemsTakeLonger()
     {
-        m_estimates["encoders"].items = 5.0;
+        m_estimates["encoders"].itemsPerCall = 5.0;
         CPPUNIT_ASSERT_EQUAL(microseconds(milliseconds{200 + 210}), forecast());
     }
 
     void upcomingWorkDelaysLaterStagesOnly()
     {
         for (const char *pool : {"encoders", "rerankers"}) {
-            m_estimates[pool].perPiece = milliseconds{20};
-            m_estimates[pool].upcoming = 20;
+            m_estimates[pool].timePerPiece = milliseconds{20};
+            m_estimates[pool].upcomingPieces = 20;
         }
         // Upcoming work of 400 ms is queued at the second pool before this request reaches it in 160 ms.
         CPPUNIT_ASSERT_EQUAL(microseconds(milliseconds{160 + 240 + 210}), forecast());
@@ -100,18 +100,18 @@
     /*! @brief Returns the forecast of one piece in the first stage and six in the second, in microseconds. */
     [[nodiscard]] std::int64_t forecast() const
     {
-        const StageForecast stageForecast{*m_catalog, [this](const PoolName &pool, int) -> std::optional<PoolOutlook> {
+        const StageForecast stageForecast{*m_catalog, [this](const PoolName &pool, int) -> std::optional<PoolEstimate> {
                                               const auto found = m_estimates.find(pool.text());
                                               return found == m_estimates.end() ? std::nullopt
                                                                                 : std::optional{found->second};
                                           }};
-        const Route *route = m_catalog->find("example", "/report/1");
-        const auto sum = stageForecast.allStages(*route, {1, 6}, 0);
+        const Route *route = m_catalog->findRoute("example", "/report/1");
+        const auto sum = stageForecast.totalDuration(*route, {1, 6}, 0);
         return sum ? sum->count() : 0;
     }
 
     std::shared_ptr<const Catalog> m_catalog{ServingFixture::catalog()};
-    std::map<std::string, PoolOutlook> m_estimates{{"encoders", {}}, {"rerankers", {}}};
+    std::map<std::string, PoolEstimate> m_estimates{{"encoders", {}}, {"rerankers", {}}};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StageForecastTest);
--- a/test/bergamottide/serving/stagescheduler.cpp
+++ b/test/bergamottide/serving/stagescheduler.cpp
@@ -116,7 +116,9 @@
         submit(1, 1);
         const auto first = dispatch();
         m_effects.clear();
-        m_scheduler.ended({first.front().call, StageCallEnd::Answered, {{"", PieceFailure::NoRoom}}}, m_now, m_effects);
+        m_scheduler.handleCallEnded(
+            {first.front().call, StageCallStatus::Answered, {{"", PieceFailure::InsufficientMemory}}}, m_now,
+            m_effects);
         CPPUNIT_ASSERT(dispatch().empty());
         m_now += std::chrono::milliseconds{260};
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dispatch().size());
@@ -127,10 +129,10 @@
         submit(1, 4, 0, std::chrono::seconds{20}, 5000);
         const auto first = dispatch();
         m_effects.clear();
-        m_scheduler.ended({first.front().call, StageCallEnd::Broken, {}}, m_now, m_effects);
+        m_scheduler.handleCallEnded({first.front().call, StageCallStatus::Broken, {}}, m_now, m_effects);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{20'000}, m_endpoints.find(InstanceName{"encoder-1"})->resultBytes);
         m_now += std::chrono::milliseconds{4001};
-        m_scheduler.expire(m_now, m_effects);
+        m_scheduler.handleTimeouts(m_now, m_effects);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, m_endpoints.find(InstanceName{"encoder-1"})->resultBytes);
     }
 
@@ -141,9 +143,9 @@
         m_scheduler.cancel(StageTaskId{1});
         answer(first.front());
         const auto freed = std::find_if(m_effects.begin(), m_effects.end(),
-                                        [](const Effect &one) { return std::holds_alternative<FreeResults>(one); });
+                                        [](const Effect &one) { return std::holds_alternative<ReleaseResults>(one); });
         CPPUNIT_ASSERT(freed != m_effects.end());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, std::get<FreeResults>(*freed).handles.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, std::get<ReleaseResults>(*freed).handles.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, m_endpoints.find(InstanceName{"encoder-1"})->resultBytes);
     }
 
@@ -153,19 +155,19 @@
         submit(1, 1);
         const auto first = dispatch();
         m_now += std::chrono::milliseconds{100};
-        m_scheduler.expire(m_now, m_effects);
+        m_scheduler.handleTimeouts(m_now, m_effects);
         // As long as memory is not scarce, the inputs are stored until the task has succeeded.
-        CPPUNIT_ASSERT(m_scheduler.takeUsedInputs().empty());
+        CPPUNIT_ASSERT(m_scheduler.takeReleasableInputs().empty());
         answer(first.front());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_scheduler.takeUsedInputs().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_scheduler.takeReleasableInputs().size());
         m_isMemoryScarce = true;
         submit(2, 1);
         const auto second = dispatch();
         m_now += std::chrono::milliseconds{100};
-        m_scheduler.expire(m_now, m_effects);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_scheduler.takeUsedInputs().size());
+        m_scheduler.handleTimeouts(m_now, m_effects);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_scheduler.takeReleasableInputs().size());
         answer(second.front());
-        CPPUNIT_ASSERT(m_scheduler.takeUsedInputs().empty());
+        CPPUNIT_ASSERT(m_scheduler.takeReleasableInputs().empty());
     }
 
     void taskWithReleasedInputsIsNotRetried()
@@ -179,11 +181,11 @@
         submit(1, 1);
         const auto first = dispatch();
         m_now += std::chrono::milliseconds{100};
-        m_scheduler.expire(m_now, m_effects);
-        m_scheduler.ended({first.front().call, StageCallEnd::Broken, {}}, m_now, m_effects);
+        m_scheduler.handleTimeouts(m_now, m_effects);
+        m_scheduler.handleCallEnded({first.front().call, StageCallStatus::Broken, {}}, m_now, m_effects);
         const auto outcomes = m_scheduler.takeOutcomes();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, outcomes.size());
-        CPPUNIT_ASSERT(outcomes.front().result.failure == PieceFailure::InputGone);
+        CPPUNIT_ASSERT(outcomes.front().result.failure == PieceFailure::InputMissing);
     }
 
     void inputsAreRetainedAtASharedEndpoint()
@@ -191,14 +193,14 @@
         m_isMemoryScarce = true;
         submit(1, 1);
         const auto first = dispatch();
-        m_scheduler.ended({first.front().call, StageCallEnd::Answered, {{"h-0", {}}}, EndpointLoad{1, 0, 1}}, m_now,
-                          m_effects);
+        m_scheduler.handleCallEnded(
+            {first.front().call, StageCallStatus::Answered, {{"h-0", {}}}, EndpointLoad{1, 0, 1}}, m_now, m_effects);
         m_inputs.push_back({"h-1", InstanceName{"other"}, "10.0.0.2:1", 100, 0});
         submit(2, 1);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dispatch().size());
         m_now += std::chrono::milliseconds{100};
-        m_scheduler.expire(m_now, m_effects);
-        CPPUNIT_ASSERT(m_scheduler.takeUsedInputs().empty());
+        m_scheduler.handleTimeouts(m_now, m_effects);
+        CPPUNIT_ASSERT(m_scheduler.takeReleasableInputs().empty());
     }
 
     void reportedResultsCountAgainstMemory()
@@ -218,7 +220,7 @@
         submit(1, 1, 0, std::chrono::seconds{3});
         const auto first = dispatch();
         m_now += std::chrono::milliseconds{800};
-        m_scheduler.expire(m_now, m_effects);
+        m_scheduler.handleTimeouts(m_now, m_effects);
         const auto second = dispatch();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, second.size());
         CPPUNIT_ASSERT(second.front().instance != first.front().instance);
@@ -233,7 +235,7 @@
                 break;
             }
             m_effects.clear();
-            m_scheduler.ended({calls.front().call, StageCallEnd::Rejected, {}}, m_now, m_effects);
+            m_scheduler.handleCallEnded({calls.front().call, StageCallStatus::Rejected, {}}, m_now, m_effects);
             m_now += std::chrono::milliseconds{70};
         }
         const auto outcomes = m_scheduler.takeOutcomes();
@@ -273,7 +275,7 @@
         submit(1, 8, 0, std::chrono::seconds{10});
         const InstanceName unresponsive = dispatch().at(0).instance;
         m_now += std::chrono::seconds{1};
-        m_scheduler.expire(m_now, m_effects);
+        m_scheduler.handleTimeouts(m_now, m_effects);
         submit(2, 8, 0, std::chrono::seconds{10});
         submit(3, 8, 0, std::chrono::seconds{10});
         for (int round = 0; round < 3; ++round) {
@@ -310,21 +312,21 @@
         submit(1, 4);
         reportMissingInputs(dispatch().at(0));
         const auto outcomes = m_scheduler.takeOutcomes();
-        CPPUNIT_ASSERT(outcomes.at(0).result.failure == PieceFailure::InputGone);
+        CPPUNIT_ASSERT(outcomes.at(0).result.failure == PieceFailure::InputMissing);
     }
 
     void brokenPathIsRetriedAfterAPause()
     {
         const std::set<ZoneName> sources{ZoneName{"a"}};
         FetchPaths paths;
-        paths.note(sources, ZoneName{"b"}, false, m_now);
+        paths.record(sources, ZoneName{"b"}, false, m_now);
         CPPUNIT_ASSERT(!paths.isBroken(sources, ZoneName{"b"}, m_now));
-        paths.note(sources, ZoneName{"b"}, false, m_now);
-        paths.note(sources, ZoneName{"b"}, false, m_now);
+        paths.record(sources, ZoneName{"b"}, false, m_now);
+        paths.record(sources, ZoneName{"b"}, false, m_now);
         CPPUNIT_ASSERT(paths.isBroken(sources, ZoneName{"b"}, m_now));
         CPPUNIT_ASSERT(!paths.isBroken(sources, ZoneName{"a"}, m_now));
         CPPUNIT_ASSERT(!paths.isBroken(sources, ZoneName{"b"}, m_now + std::chrono::milliseconds{1500}));
-        paths.note(sources, ZoneName{"b"}, true, m_now);
+        paths.record(sources, ZoneName{"b"}, true, m_now);
         CPPUNIT_ASSERT(!paths.isBroken(sources, ZoneName{"b"}, m_now));
     }
 
@@ -355,7 +357,7 @@
                 next = running.erase(next);
             }
             for (auto next = used.begin(); next != used.end() && next->first <= m_now;) {
-                m_scheduler.released(next->second);
+                m_scheduler.handleReleased(next->second);
                 next = used.erase(next);
             }
             for (const StartStageCall &call : dispatch()) {
@@ -382,15 +384,15 @@
         task.id = StageTaskId{id};
         task.pool = PoolName{"encoders"};
         task.rank = rank;
-        task.due = m_now + due;
+        task.latestStart = m_now + due;
         task.deadline = m_now + std::chrono::seconds{20};
         task.attempt = "attempt-" + std::to_string(id);
         task.pieces = pieces;
-        task.key = "input";
+        task.inputKey = "input";
         task.resultBytes = bytes;
-        task.zone = m_zone;
+        task.preferredZone = m_zone;
         task.inputs = m_inputs;
-        task.held = m_heldResults;
+        task.heldResults = m_heldResults;
         m_scheduler.submit(std::move(task), m_now);
     }
 
@@ -406,10 +408,10 @@
     /*! @brief Ends a call with missing inputs for all of its items. */
     void reportMissingInputs(const StartStageCall &call)
     {
-        StageCallEnded ended{call.call, StageCallEnd::Answered, {}};
-        ended.results.assign(call.items.size(), PieceResult{{}, PieceFailure::InputGone});
+        StageCallEnded ended{call.call, StageCallStatus::Answered, {}};
+        ended.results.assign(call.items.size(), PieceResult{{}, PieceFailure::InputMissing});
         m_effects.clear();
-        m_scheduler.ended(ended, m_now, m_effects);
+        m_scheduler.handleCallEnded(ended, m_now, m_effects);
     }
 
     std::vector<StartStageCall> dispatch()
@@ -432,36 +434,36 @@
 
     void answer(const StartStageCall &call)
     {
-        StageCallEnded ended{call.call, StageCallEnd::Answered, {}};
+        StageCallEnded ended{call.call, StageCallStatus::Answered, {}};
         for (std::size_t item = 0; item < call.items.size(); ++item) {
             ended.results.push_back({handleOf(call, item), PieceFailure::None});
         }
         m_effects.clear();
-        m_scheduler.ended(ended, m_now, m_effects);
+        m_scheduler.handleCallEnded(ended, m_now, m_effects);
     }
 
     void release(const StartStageCall &call, std::size_t items)
     {
         for (std::size_t item = 0; item < items; ++item) {
-            m_scheduler.released(handleOf(call, item));
+            m_scheduler.handleReleased(handleOf(call, item));
         }
     }
 
     TimePoint m_now{std::chrono::seconds{100}};
     std::shared_ptr<const Catalog> m_catalog{ServingFixture::catalog()};
-    EndpointBoard m_endpoints;
-    RetryBudget m_budget{{.ratio = 0.0, .slack = 3.0, .window = std::chrono::seconds{10}, .sharers = 1}};
+    EndpointRegistry m_endpoints;
+    RetryBudget m_budget{{.ratio = 0.0, .slack = 3.0, .window = std::chrono::seconds{10}, .assumedProcesses = 1}};
     FetchPaths m_paths;
     WarmupLimiter m_warmup{[](const InstanceName &, std::uint32_t, TimePoint) {
         return 0U;
     }};
-    StageScheduler m_scheduler{m_endpoints, m_budget, m_warmup, m_paths, [this](const KeptResult &) {
+    StageScheduler m_scheduler{m_endpoints, m_budget, m_warmup, m_paths, [this](const StoredResult &) {
                                    return m_isMemoryScarce;
                                }};
     bool m_isMemoryScarce{};
     ZoneName m_zone;
-    std::vector<KeptResult> m_inputs;
-    std::vector<HeldResults> m_heldResults;
+    std::vector<StoredResult> m_inputs;
+    std::vector<ResultMemoryUsage> m_heldResults;
     Effects m_effects;
 };
 
--- a/test/bergamottide/serving/stagesunderload.cpp
+++ b/test/bergamottide/serving/stagesunderload.cpp
@@ -22,9 +22,9 @@
         submit(1, 8, 100);
         const StageCallNumber first = m_fixture.effect<StartStageCall>()->call;
         submit(2, 8, 100);
-        m_fixture.pass(milliseconds{10});
+        m_fixture.advanceClock(milliseconds{10});
         submit(3, 8, 15'000);
-        m_fixture.pass(milliseconds{200});
+        m_fixture.advanceClock(milliseconds{200});
         endCall(first, 8);
         CPPUNIT_ASSERT_EQUAL(std::string{"attempt-3"}, m_fixture.effect<StartStageCall>()->items.front().attempt);
     }
@@ -33,10 +33,10 @@
     {
         // 16 results of 1,000 bytes fill 80 % of the memory of the only encoder.
         startRunWith(16);
-        m_fixture.pass(milliseconds{50});
-        CPPUNIT_ASSERT(m_fixture.effect<FreeResults>() == nullptr);
-        m_fixture.pass(milliseconds{100});
-        const auto *freed = m_fixture.effect<FreeResults>();
+        m_fixture.advanceClock(milliseconds{50});
+        CPPUNIT_ASSERT(m_fixture.effect<ReleaseResults>() == nullptr);
+        m_fixture.advanceClock(milliseconds{100});
+        const auto *freed = m_fixture.effect<ReleaseResults>();
         CPPUNIT_ASSERT(freed != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::size_t{16}, freed->handles.size());
     }
@@ -44,8 +44,8 @@
     void inputsAreRetainedWhileMemoryIsAvailable()
     {
         startRunWith(4);
-        m_fixture.pass(milliseconds{500});
-        CPPUNIT_ASSERT(m_fixture.effect<FreeResults>() == nullptr);
+        m_fixture.advanceClock(milliseconds{500});
+        CPPUNIT_ASSERT(m_fixture.effect<ReleaseResults>() == nullptr);
     }
 
 private:
@@ -59,7 +59,7 @@
 
     void endCall(StageCallNumber call, std::size_t items)
     {
-        StageCallEnded ended{call, StageCallEnd::Answered, {}};
+        StageCallEnded ended{call, StageCallStatus::Answered, {}};
         for (std::size_t item = 0; item < items; ++item) {
             ended.results.push_back({"h-" + std::to_string(m_nextHandle++), PieceFailure::None});
         }
--- a/test/bergamottide/serving/warmuplimiter.cpp
+++ b/test/bergamottide/serving/warmuplimiter.cpp
@@ -42,8 +42,8 @@
     {
         const WarmupLimiter limiter = withQuota(2);
         Endpoint endpoint;
-        WarmupLimiter::noteSent(pool(), endpoint, m_now);
-        endpoint.coldUntil = m_now + std::chrono::seconds{3};
+        WarmupLimiter::recordSent(pool(), endpoint, m_now);
+        endpoint.warmupEndsAt = m_now + std::chrono::seconds{3};
         CPPUNIT_ASSERT_EQUAL(1U, burst(limiter, endpoint));
     }
 
@@ -52,7 +52,7 @@
         const WarmupLimiter limiter = withQuota(0);
         Endpoint endpoint = coldEndpoint();
         CPPUNIT_ASSERT_EQUAL(0U, burst(limiter, endpoint));
-        m_now = endpoint.coldUntil;
+        m_now = endpoint.warmupEndsAt;
         CPPUNIT_ASSERT_EQUAL(maxTries, burst(limiter, endpoint));
         Pool unlimited = pool();
         unlimited.warmup.reset();
@@ -61,24 +61,24 @@
 
     void unreachableEndpointCountsAsCold()
     {
-        EndpointBoard board = listed();
-        board.started(m_record.instance);
-        board.ended(m_record.instance, EndpointSign::Unreached, m_now, m_effects);
+        EndpointRegistry board = listed();
+        board.recordStart(m_record.instance);
+        board.recordEnd(m_record.instance, EndpointOutcome::ConnectFailed, m_now, m_effects);
         CPPUNIT_ASSERT(isCold(board));
-        m_now += pool().warmup->time + std::chrono::seconds{2};
+        m_now += pool().warmup->duration + std::chrono::seconds{2};
         CPPUNIT_ASSERT(!isCold(board));
     }
 
     void endpointOfARestoredZoneCountsAsCold()
     {
-        EndpointBoard board = listed();
+        EndpointRegistry board = listed();
         m_record.isEvacuated = true;
         board.update({m_record}, m_now, m_effects);
-        CPPUNIT_ASSERT(!board.serves(m_record.pool));
+        CPPUNIT_ASSERT(!board.canServe(m_record.pool));
         m_now += std::chrono::seconds{20};
         m_record.isEvacuated = false;
         board.update({m_record}, m_now, m_effects);
-        CPPUNIT_ASSERT(board.serves(m_record.pool));
+        CPPUNIT_ASSERT(board.canServe(m_record.pool));
         CPPUNIT_ASSERT(isCold(board));
     }
 
@@ -87,7 +87,7 @@
         for (const std::size_t size : {1U, 3U, 26U, 350U}) {
             PeerFleet fleet{size, m_now};
             fleet.run(std::chrono::seconds{8});
-            const std::uint32_t totalQuota = fleet.dealt("engine-1", requestsPerSecond);
+            const std::uint32_t totalQuota = fleet.sumOfShares("engine-1", requestsPerSecond);
             CPPUNIT_ASSERT(totalQuota <= requestsPerSecond);
             CPPUNIT_ASSERT(size == 1 || totalQuota >= requestsPerSecond * 3 / 4);
         }
@@ -99,7 +99,7 @@
         PeerFleet fleet{350, m_now};
         for (int step = 0; step < 60; ++step) {
             fleet.run(std::chrono::milliseconds{100});
-            CPPUNIT_ASSERT(fleet.dealt("engine-1", requestsPerSecond) <= requestsPerSecond);
+            CPPUNIT_ASSERT(fleet.sumOfShares("engine-1", requestsPerSecond) <= requestsPerSecond);
         }
     }
 
@@ -108,11 +108,12 @@
         PeerFleet fleet{26, m_now};
         fleet.run(std::chrono::seconds{6});
         for (int index = 0; index < 8; ++index) {
-            fleet.cutOff(InstanceName{"entry-" + std::to_string(index * 3)});
+            fleet.disconnect(InstanceName{"entry-" + std::to_string(index * 3)});
         }
         fleet.run(std::chrono::seconds{10});
         for (int engine = 0; engine < 20; ++engine) {
-            CPPUNIT_ASSERT(fleet.dealt("engine-" + std::to_string(engine), requestsPerSecond) <= requestsPerSecond);
+            CPPUNIT_ASSERT(fleet.sumOfShares("engine-" + std::to_string(engine), requestsPerSecond)
+                           <= requestsPerSecond);
         }
     }
 
@@ -124,7 +125,7 @@
         m_now += std::chrono::seconds{6};
         std::vector<TimePoint> sent;
         std::vector<Endpoint> endpoints(26, coldEndpoint());
-        for (; m_now < endpoints.front().coldUntil; m_now += std::chrono::milliseconds{10}) {
+        for (; m_now < endpoints.front().warmupEndsAt; m_now += std::chrono::milliseconds{10}) {
             for (std::size_t process = 0; process < endpoints.size(); ++process) {
                 const WarmupLimiter limiter{
                     [&fleet, process](const InstanceName &endpoint, std::uint32_t limit, TimePoint) {
@@ -164,18 +165,18 @@
     {
         Endpoint out;
         out.record.instance = InstanceName{"engine-1"};
-        out.coldUntil = m_now + std::chrono::seconds{3};
+        out.warmupEndsAt = m_now + std::chrono::seconds{3};
         return out;
     }
 
-    [[nodiscard]] EndpointBoard listed()
+    [[nodiscard]] EndpointRegistry listed()
     {
-        EndpointBoard board;
+        EndpointRegistry board;
         board.update({m_record}, m_now, m_effects);
         return board;
     }
 
-    [[nodiscard]] bool isCold(EndpointBoard &board) const
+    [[nodiscard]] bool isCold(EndpointRegistry &board) const
     {
         return WarmupLimiter::isCold(*pool().warmup, *board.find(m_record.instance), m_now);
     }
@@ -185,7 +186,7 @@
     {
         std::uint32_t sent = 0;
         while (sent < maxTries && limiter.admits(pool(), endpoint, m_now)) {
-            WarmupLimiter::noteSent(pool(), endpoint, m_now);
+            WarmupLimiter::recordSent(pool(), endpoint, m_now);
             ++sent;
         }
         return sent;
--- a/test/bergamottide/side/atmostonce.cpp
+++ b/test/bergamottide/sidecar/atmostonce.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 
 #include "sidecarfixture.h"
 
@@ -64,7 +64,7 @@
         fixture.clearEffects();
         fixture.completeRun(runId(1, 1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.messagesOf<RunFinished>(fixture.otherEntry).size());
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void startWithOtherIncarnationIsRefused()
@@ -74,7 +74,7 @@
         message.incarnation = Incarnation{6};
         fixture.receive(message);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).reason == Reason::WrongIncarnation);
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void startWithUnknownSerialIsRefused()
@@ -85,7 +85,7 @@
         fixture.receive(SidecarFixture::makeStartRun(runId(3), Serial{77}));
         CPPUNIT_ASSERT(fixture.lastFinished(runId(3)).state == RunState::NotStarted);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(3)).reason == Reason::UnknownTicket);
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void expiredSerialIsUnknown()
@@ -98,7 +98,7 @@
         fixture.clearEffects();
         fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::Unknown);
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void refusedRunStaysRefused()
@@ -106,7 +106,7 @@
         SidecarFixture fixture;
         const Serial serial = fixture.openRequest(1);
         StartRun message = SidecarFixture::makeStartRun(runId(1), serial);
-        message.following = 20s;
+        message.laterStagesCost = 20s;
         fixture.receive(message);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
         fixture.receive(RunAcknowledged{runId(1)});
@@ -114,7 +114,7 @@
             fixture.receive(SidecarFixture::makeStartRun(runId(1, attempt), serial));
             fixture.advanceClock(5s);
         }
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void sealedRequestNeverRuns()
@@ -126,7 +126,7 @@
         fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).reason == Reason::Sealed);
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void sealRemovesAQueuedRun()
@@ -165,7 +165,7 @@
         fixture.advanceClock(2100ms);
         CPPUNIT_ASSERT(fixture.messagesOf<RequestState>(fixture.otherEntry).at(0).state == LedgerState::Sealed);
         fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void lostDriverDoesNotCancelTheRun()
@@ -176,7 +176,7 @@
         fixture.receive(SidecarFixture::makeStartRun(runId(2)));
         fixture.apply(PeerDown{fixture.entry});
         fixture.advanceClock(10s);
-        const auto cancels = fixture.effectsOf<EndpointCancel>();
+        const auto cancels = fixture.effectsOf<CancelEndpointRun>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cancels.size());
         CPPUNIT_ASSERT(cancels.front().run == runId(2));
         fixture.completeRun(runId(1), "kept");
@@ -193,7 +193,7 @@
         const Serial serial = fixture.openRequest(1);
         fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
         fixture.receive(CancelRun{runId(1), serial});
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointCancel>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<CancelEndpointRun>().empty());
         CPPUNIT_ASSERT(fixture.messagesOf<RunStates>().at(0).items.at(0).state == RunState::Running);
         const Serial second = fixture.openRequest(2);
         fixture.receive(CancelRun{runId(2), second});
@@ -243,7 +243,7 @@
         fixture.advanceClock(700ms);
         CPPUNIT_ASSERT(fixture.messagesOf<RequestState>(fixture.otherEntry).at(0).state == LedgerState::Sealed);
         fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void newDriverTakesOverAnOpenedRequest()
@@ -264,14 +264,14 @@
         SidecarFixture fixture;
         const Serial serial = fixture.openRequest(1);
         fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
-        fixture.apply(EndpointFinished{runId(1), EndpointResult::Refused, Reason::Overloaded});
+        fixture.apply(EndpointRunEnded{runId(1), EndpointResult::Refused, Reason::Overloaded});
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
         fixture.receive(SidecarFixture::makeStartRun(runId(1, 2), serial));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<EndpointStart>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<StartEndpointRun>().size());
         const Serial second = fixture.openRequest(2);
         fixture.receive(SidecarFixture::makeStartRun(runId(2), second));
-        fixture.apply(EndpointPiece{runId(2), "x", 1});
-        fixture.apply(EndpointFinished{runId(2), EndpointResult::Refused, Reason::Overloaded});
+        fixture.apply(EndpointResultPiece{runId(2), "x", 1});
+        fixture.apply(EndpointRunEnded{runId(2), EndpointResult::Refused, Reason::Overloaded});
         CPPUNIT_ASSERT(fixture.lastFinished(runId(2)).state == RunState::Unknown);
     }
 
@@ -281,8 +281,8 @@
         const Serial serial = fixture.openRequest(1);
         fixture.receive(SidecarFixture::makeStartRun(runId(1), serial));
         fixture.receive(SidecarFixture::makeStartRun(runId(2)));
-        fixture.apply(EndpointFinished{runId(1), EndpointResult::Failed, Reason::EndpointFailed});
-        fixture.apply(EndpointFinished{runId(2), EndpointResult::Failed, Reason::EndpointFailed});
+        fixture.apply(EndpointRunEnded{runId(1), EndpointResult::Failed, Reason::EndpointFailed});
+        fixture.apply(EndpointRunEnded{runId(2), EndpointResult::Failed, Reason::EndpointFailed});
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::Unknown);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(2)).state == RunState::Failed);
     }
--- a/test/bergamottide/side/orders.cpp
+++ b/test/bergamottide/sidecar/orders.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 
 #include "sidecarfixture.h"
 
@@ -38,10 +38,10 @@
     {
         SidecarFixture fixture{documentWithModel()};
         fixture.advanceClock(2s);
-        CPPUNIT_ASSERT(fixture.effectsOf<GiveOrder>().empty());
-        fixture.apply(EndpointReport{});
+        CPPUNIT_ASSERT(fixture.effectsOf<SendOrder>().empty());
+        fixture.apply(EndpointLoadReport{});
         fixture.advanceClock(5s);
-        const auto orders = fixture.effectsOf<GiveOrder>();
+        const auto orders = fixture.effectsOf<SendOrder>();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, orders.size());
         CPPUNIT_ASSERT(orders[0].kind == OrderKind::LoadModel && orders[0].model.text() == "m");
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<AuditRecord>().size());
@@ -52,22 +52,22 @@
         SidecarFixture fixture{documentWithModel()};
         fixture.advanceClock(2s);
         fixture.apply(DrainRequested{"SIGTERM"});
-        fixture.apply(EndpointReport{});
+        fixture.apply(EndpointLoadReport{});
         fixture.advanceClock(5s);
-        CPPUNIT_ASSERT(fixture.effectsOf<GiveOrder>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<SendOrder>().empty());
     }
 
     void sendsNoOrderAfterPauseUntilNextReport()
     {
         SidecarFixture fixture{documentWithModel()};
         fixture.clock.advance(10s);
-        fixture.apply(EndpointReport{});
-        CPPUNIT_ASSERT(fixture.effectsOf<GiveOrder>().empty());
+        fixture.apply(EndpointLoadReport{});
+        CPPUNIT_ASSERT(fixture.effectsOf<SendOrder>().empty());
         fixture.receive(Pong{fixture.messagesOf<Ping>().at(0).sequence});
         fixture.advanceClock(3s);
-        CPPUNIT_ASSERT(fixture.effectsOf<GiveOrder>().empty());
-        fixture.apply(EndpointReport{});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<GiveOrder>().size());
+        CPPUNIT_ASSERT(fixture.effectsOf<SendOrder>().empty());
+        fixture.apply(EndpointLoadReport{});
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<SendOrder>().size());
     }
 };
 
--- a/test/bergamottide/side/recovery.cpp
+++ b/test/bergamottide/sidecar/recovery.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 
 #include "sidecarfixture.h"
 
@@ -36,9 +36,9 @@
     {
         SidecarFixture fixture;
         fixture.receive(SidecarFixture::makeStartRun(runId(1)));
-        fixture.apply(EndpointPiece{runId(1), "abcdef", 2});
+        fixture.apply(EndpointResultPiece{runId(1), "abcdef", 2});
         fixture.apply(PeerDown{fixture.entry});
-        fixture.apply(EndpointPiece{runId(1), "gh", 1});
+        fixture.apply(EndpointResultPiece{runId(1), "gh", 1});
         fixture.apply(PeerUp{fixture.entry});
         fixture.clearEffects();
         fixture.receive(QueryRuns{{{runId(1), 4}}});
@@ -46,7 +46,7 @@
         const RunProgress piece = fixture.messagesOf<RunProgress>().at(0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, piece.offset);
         CPPUNIT_ASSERT_EQUAL(std::string{"efgh"}, piece.piece);
-        fixture.apply(EndpointFinished{runId(1), EndpointResult::Completed, Reason::None});
+        fixture.apply(EndpointRunEnded{runId(1), EndpointResult::Completed, Reason::None});
         fixture.clearEffects();
         fixture.receive(QueryRuns{{{runId(1), 8}}});
         CPPUNIT_ASSERT(fixture.messagesOf<RunProgress>().empty());
@@ -100,28 +100,28 @@
         SidecarFixture fixture;
         fixture.receive(SidecarFixture::makeStartRun(runId(1, 1)));
         fixture.receive(SidecarFixture::makeStartRun(runId(1, 2)));
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointCancel>().at(0).run == runId(1, 1));
+        CPPUNIT_ASSERT(fixture.effectsOf<CancelEndpointRun>().at(0).run == runId(1, 1));
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1, 1)).reason == Reason::Fenced);
         fixture.clearEffects();
-        fixture.apply(EndpointFinished{runId(1, 1), EndpointResult::Completed, Reason::None});
+        fixture.apply(EndpointRunEnded{runId(1, 1), EndpointResult::Completed, Reason::None});
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1, 1)).state == RunState::Absent);
         fixture.receive(RunAcknowledged{runId(1, 1)});
         fixture.receive(SidecarFixture::makeStartRun(runId(1, 1)));
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1, 1)).reason == Reason::Fenced);
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void lateDuplicateStartIsRejected()
     {
         SidecarFixture fixture;
         StartRun message = SidecarFixture::makeStartRun(runId(1));
-        message.following = 20s;
+        message.laterStagesCost = 20s;
         fixture.receive(message);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
         fixture.receive(RunAcknowledged{runId(1)});
         fixture.advanceClock(3s);
         fixture.receive(SidecarFixture::makeStartRun(runId(1)));
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void startAfterItsCancellationIsRejected()
@@ -130,7 +130,7 @@
         fixture.receive(CancelRun{runId(1)});
         CPPUNIT_ASSERT(fixture.messagesOf<RunStates>().at(0).items.at(0).state == RunState::Absent);
         fixture.receive(SidecarFixture::makeStartRun(runId(1)));
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void unknownEndpointEventsAreDropped()
@@ -138,8 +138,8 @@
         SidecarFixture fixture;
         fixture.receive(SidecarFixture::makeStartRun(runId(1)));
         fixture.clearEffects();
-        fixture.apply(EndpointPiece{runId(2), "x", 1});
-        fixture.apply(EndpointFinished{runId(2), EndpointResult::Completed, Reason::None});
+        fixture.apply(EndpointResultPiece{runId(2), "x", 1});
+        fixture.apply(EndpointRunEnded{runId(2), EndpointResult::Completed, Reason::None});
         CPPUNIT_ASSERT(fixture.messagesOf<RunProgress>().empty() && fixture.messagesOf<RunFinished>().empty());
         int dropped = 0;
         for (const Observe &observe : fixture.effectsOf<Observe>()) {
@@ -162,7 +162,7 @@
         fixture.receive(OpenRequest{RequestId{1, 5}, WorkspaceName{"north"}, 9s});
         fixture.completeRun(runId(1));
         fixture.apply(Tick{});
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
         CPPUNIT_ASSERT(fixture.lastFinished(runId(4)).state == RunState::NotStarted);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(4)).reason == Reason::Paused);
         CPPUNIT_ASSERT(fixture.messagesOf<OpenRefused>().at(0).reason == Reason::Paused);
@@ -185,7 +185,7 @@
         fixture.apply(ConfigChanged{std::make_shared<const Document>(minimalDocument()), 1});
         fixture.apply(ViewChanged{instanceViewOf({"side-1"})});
         fixture.receive(SidecarFixture::makeStartRun(runId(1)));
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void pauseRefusesExpiredRuns()
@@ -217,7 +217,7 @@
         for (std::uint64_t number = 1; number <= 3; ++number) {
             fixture.completeRun(runId(number));
         }
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointCancel>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<CancelEndpointRun>().empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.startCount(runId(3)));
         CPPUNIT_ASSERT(fixture.effectsOf<DrainComplete>().empty());
         for (std::uint64_t number = 1; number <= 4; ++number) {
@@ -250,7 +250,7 @@
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).reason == Reason::Draining);
         fixture.receive(SidecarFixture::makeStartRun(runId(1, 2), serial));
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void drainEndsAtItsTimeout()
@@ -289,7 +289,7 @@
         fixture.apply(ConfigChanged{std::make_shared<const Document>(minimalDocument()), 1});
         fixture.receive(SidecarFixture::makeStartRun(runId(1)));
         fixture.receive(SidecarFixture::makeStartRun(runId(2)));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<EndpointStart>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<StartEndpointRun>().size());
     }
 };
 
--- a/test/bergamottide/side/sidecarfixture.h
+++ b/test/bergamottide/sidecar/sidecarfixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 
 #include <memory>
 #include <string>
@@ -41,7 +41,7 @@
     for (const std::string &name : names) {
         Instance instance;
         instance.name = InstanceName{name};
-        instance.role = Role::Side;
+        instance.role = Role::Sidecar;
         instance.pool = PoolName{"engines"};
         view->instances[instance.name] = instance;
     }
@@ -53,8 +53,8 @@
 {
 public:
     explicit SidecarFixture(Document document = minimalDocument())
-        : m_reducer{SideIdentity{InstanceName{"side-1"}, RegionName{"r"}, ZoneName{"z"}, PoolName{"engines"},
-                                 testIncarnation, 1}}
+        : m_reducer{SidecarIdentity{InstanceName{"side-1"}, RegionName{"r"}, ZoneName{"z"}, PoolName{"engines"},
+                                    testIncarnation, 1}}
     {
         apply(ConfigChanged{std::make_shared<const Document>(std::move(document)), 1});
         apply(ViewChanged{instanceViewOf({"side-1"})});
@@ -62,9 +62,9 @@
         effects.clear();
     }
 
-    void apply(const SideEvent &event)
+    void apply(const SidecarEvent &event)
     {
-        for (SideEffect &effect : m_reducer.apply(event, clock.now())) {
+        for (SidecarEffect &effect : m_reducer.apply(event, clock.now())) {
             effects.push_back(std::move(effect));
         }
     }
@@ -119,7 +119,7 @@
     [[nodiscard]] std::vector<Effect> effectsOf() const
     {
         std::vector<Effect> found;
-        for (const SideEffect &effect : effects) {
+        for (const SidecarEffect &effect : effects) {
             if (const auto *match = std::get_if<Effect>(&effect)) {
                 found.push_back(*match);
             }
@@ -145,8 +145,8 @@
     [[nodiscard]] std::size_t startCount(const RunId &run) const
     {
         std::size_t count = 0;
-        for (const auto &started : effectsOf<EndpointStart>()) {
-            count += started.run.run == run ? 1 : 0;
+        for (const auto &started : effectsOf<StartEndpointRun>()) {
+            count += started.spec.run == run ? 1 : 0;
         }
         return count;
     }
@@ -165,8 +165,8 @@
 
     void completeRun(const RunId &run, const std::string &result = "answer")
     {
-        apply(EndpointPiece{run, result, 1});
-        apply(EndpointFinished{run, EndpointResult::Completed, Reason::None});
+        apply(EndpointResultPiece{run, result, 1});
+        apply(EndpointRunEnded{run, EndpointResult::Completed, Reason::None});
     }
 
     void clearEffects()
@@ -174,7 +174,7 @@
         effects.clear();
     }
 
-    SideReducer &reducer()
+    SidecarReducer &reducer()
     {
         return m_reducer;
     }
@@ -182,10 +182,10 @@
     const InstanceName entry{"entry-1"};
     const InstanceName otherEntry{"entry-2"};
     ManualClock clock;
-    std::vector<SideEffect> effects;
+    std::vector<SidecarEffect> effects;
 
 private:
-    SideReducer m_reducer;
+    SidecarReducer m_reducer;
 };
 
 } // namespace bergamottide::test
--- a/test/bergamottide/side/sidereducer.cpp
+++ b/test/bergamottide/sidecar/sidecarreducer.cpp
@@ -1,4 +1,4 @@
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 
 #include "sidecarfixture.h"
 
@@ -9,9 +9,9 @@
 using namespace std::chrono_literals;
 
 /*! @brief Execution, cancellation and refusal of runs, and messages to peers. */
-class SideReducerTest : public CppUnit::TestFixture
+class SidecarReducerTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(SideReducerTest);
+    CPPUNIT_TEST_SUITE(SidecarReducerTest);
     CPPUNIT_TEST(runsAtTheEndpointAndDeliversItsResult);
     CPPUNIT_TEST(runsAboveTheConcurrencyLimitWait);
     CPPUNIT_TEST(refusesEveryRunWithoutDocument);
@@ -31,9 +31,9 @@
         SidecarFixture fixture;
         fixture.receive(SidecarFixture::makeStartRun(runId(1)));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.startCount(runId(1)));
-        fixture.apply(EndpointPiece{runId(1), "ab", 1});
-        fixture.apply(EndpointPiece{runId(1), "c", 1});
-        fixture.apply(EndpointFinished{runId(1), EndpointResult::Completed, Reason::None});
+        fixture.apply(EndpointResultPiece{runId(1), "ab", 1});
+        fixture.apply(EndpointResultPiece{runId(1), "c", 1});
+        fixture.apply(EndpointRunEnded{runId(1), EndpointResult::Completed, Reason::None});
         std::string result;
         for (const RunProgress &progress : fixture.messagesOf<RunProgress>(fixture.entry)) {
             CPPUNIT_ASSERT_EQUAL(static_cast<std::uint64_t>(result.size()), progress.offset);
@@ -56,7 +56,7 @@
         for (std::uint64_t number = 1; number <= 3; ++number) {
             fixture.receive(SidecarFixture::makeStartRun(runId(number)));
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.effectsOf<EndpointStart>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.effectsOf<StartEndpointRun>().size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fixture.reducer().inProgress());
         fixture.completeRun(runId(1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.startCount(runId(3)));
@@ -64,12 +64,12 @@
 
     void refusesEveryRunWithoutDocument()
     {
-        SideReducer reducer{SideIdentity{InstanceName{"side-1"}}};
+        SidecarReducer reducer{SidecarIdentity{InstanceName{"side-1"}}};
         const auto effects = reducer.apply(PeerMessage{InstanceName{"entry-1"}, SidecarFixture::makeStartRun(runId(1))},
                                            ManualClock{}.now());
         bool refused = false;
-        for (const SideEffect &effect : effects) {
-            CPPUNIT_ASSERT(!std::holds_alternative<EndpointStart>(effect));
+        for (const SidecarEffect &effect : effects) {
+            CPPUNIT_ASSERT(!std::holds_alternative<StartEndpointRun>(effect));
             const auto *sent = std::get_if<SendMessage>(&effect);
             const auto *end = sent != nullptr ? std::get_if<RunFinished>(&sent->message) : nullptr;
             refused = refused || (end != nullptr && end->state == RunState::NotStarted);
@@ -120,7 +120,7 @@
         SidecarFixture fixture;
         fixture.receive(SidecarFixture::makeStartRun(runId(1)));
         fixture.receive(CancelRun{runId(1)});
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<EndpointCancel>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<CancelEndpointRun>().size());
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::Failed);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.reducer().inProgress());
     }
@@ -131,11 +131,11 @@
         StartRun message = SidecarFixture::makeStartRun(runId(1));
         message.remaining = 500ms;
         message.cost = 100ms;
-        message.following = 401ms;
+        message.laterStagesCost = 401ms;
         fixture.receive(message);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).state == RunState::NotStarted);
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).reason == Reason::DeadlineUnreachable);
-        CPPUNIT_ASSERT(fixture.effectsOf<EndpointStart>().empty());
+        CPPUNIT_ASSERT(fixture.effectsOf<StartEndpointRun>().empty());
     }
 
     void queuedRunIsRefusedWhenItBecomesInfeasible()
@@ -179,12 +179,12 @@
         SidecarFixture fixture{document};
         fixture.receive(SidecarFixture::makeStartRun(runId(1)));
         fixture.receive(SidecarFixture::makeStartRun(runId(2)));
-        fixture.apply(EndpointPiece{runId(1), std::string(11, 'x'), 1});
+        fixture.apply(EndpointResultPiece{runId(1), std::string(11, 'x'), 1});
         CPPUNIT_ASSERT(fixture.lastFinished(runId(1)).reason == Reason::AnswerTooLarge);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<EndpointCancel>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.effectsOf<CancelEndpointRun>().size());
         fixture.completeRun(runId(2));
         CPPUNIT_ASSERT(fixture.lastFinished(runId(2)).state == RunState::Completed);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(SideReducerTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(SidecarReducerTest);
--- a/test/platform/codecs.cpp
+++ b/test/platform/codecs.cpp
@@ -110,7 +110,7 @@
         start.workspace = WorkspaceName{"north"};
         start.urgency = 2;
         start.inputs = {"h1", "h2"};
-        start.lastEvent = "7";
+        start.lastEventId = "7";
         const HttpRequest out = platform::encodeRun(start);
         CPPUNIT_ASSERT_EQUAL(std::string{"/draft/1?q=1"}, out.path);
         CPPUNIT_ASSERT_EQUAL(std::string{"example:80"}, out.authority);
@@ -127,15 +127,15 @@
         request.attempt = "a1";
         const auto own = platform::decodeResponseHead(
             request, 200, {{"Attempt-Id", "a1"}, {"Response-Seal", "s"}, {"Server-Load", "3,1,8"}, {"X-Kept", "1"}});
-        CPPUNIT_ASSERT(!own.foreign && own.sealed && !own.notExecuted);
+        CPPUNIT_ASSERT(!own.isForOtherRequest && own.isSigned && !own.notExecuted);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{8}, own.load->slots);
         CPPUNIT_ASSERT_EQUAL(std::string{"1"}, std::string{headerValue(own.headers, "x-kept")});
-        CPPUNIT_ASSERT(
-            platform::decodeResponseHead(request, 200, {{"Attempt-Id", "a2"}, {"Response-Seal", "s"}}).foreign);
-        CPPUNIT_ASSERT(platform::decodeResponseHead(request, 200, {{"Response-Seal", "s"}}).foreign);
+        CPPUNIT_ASSERT(platform::decodeResponseHead(request, 200, {{"Attempt-Id", "a2"}, {"Response-Seal", "s"}})
+                           .isForOtherRequest);
+        CPPUNIT_ASSERT(platform::decodeResponseHead(request, 200, {{"Response-Seal", "s"}}).isForOtherRequest);
         CPPUNIT_ASSERT(!platform::decodeResponseHead(
                             request, 200, {{"Attempt-Id", "a1"}, {"Response-Seal", "s"}, {"Content-Encoding", "gzip"}})
-                            .sealed);
+                            .isSigned);
     }
 
     void acceptsRejectionWithoutAttempt()
@@ -143,19 +143,19 @@
         serving::CallerRequest request;
         request.attempt = "a1";
         const auto rejected = platform::decodeResponseHead(request, 503, {{"Not-Executed", "1"}});
-        CPPUNIT_ASSERT(rejected.notExecuted && !rejected.foreign);
+        CPPUNIT_ASSERT(rejected.notExecuted && !rejected.isForOtherRequest);
         CPPUNIT_ASSERT(platform::decodeResponseHead(request, 421, {}).notExecuted);
-        CPPUNIT_ASSERT(
-            platform::decodeResponseHead(request, 503, {{"Not-Executed", "1"}, {"Attempt-Id", "a2"}}).foreign);
+        CPPUNIT_ASSERT(platform::decodeResponseHead(request, 503, {{"Not-Executed", "1"}, {"Attempt-Id", "a2"}})
+                           .isForOtherRequest);
     }
 
     void encodesRetryAfterInFractionalSeconds()
     {
-        const HttpAnswer answer = platform::encodeRefusal(
-            {CallId{1}, serving::AnswerKind::Unavailable, std::chrono::milliseconds{250}}, "a1");
+        const HttpResponse answer =
+            platform::encodeRefusal({CallId{1}, serving::ErrorKind::Unavailable, std::chrono::milliseconds{250}}, "a1");
         CPPUNIT_ASSERT_EQUAL(503, answer.status);
         CPPUNIT_ASSERT_EQUAL(std::string{"0.250"}, std::string{headerValue(answer.headers, "retry-after")});
-        CPPUNIT_ASSERT_EQUAL(504, platform::encodeRefusal({CallId{1}, serving::AnswerKind::TimedOut, {}}, "a1").status);
+        CPPUNIT_ASSERT_EQUAL(504, platform::encodeRefusal({CallId{1}, serving::ErrorKind::TimedOut, {}}, "a1").status);
     }
 
     void encodesAndDecodesStageCalls()
@@ -172,20 +172,22 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"encoder-1"}, std::string{headerValue(out.headers, "expect-instance")});
         const auto ended = platform::decodeStageResponse(serving::StageCallNumber{1}, 2,
                                                          {200, {}, R"({"items":[{"handle":"h2"},{"reason":"gone"}]})"});
-        CPPUNIT_ASSERT(ended.end == serving::StageCallEnd::Answered);
+        CPPUNIT_ASSERT(ended.status == serving::StageCallStatus::Answered);
         CPPUNIT_ASSERT_EQUAL(std::string{"h2"}, ended.results[0].handle);
-        CPPUNIT_ASSERT(ended.results[1].failure == serving::PieceFailure::InputGone);
+        CPPUNIT_ASSERT(ended.results[1].failure == serving::PieceFailure::InputMissing);
     }
 
     void stageResponseWithWrongItemCountIsBroken()
     {
         const serving::StageCallNumber call{1};
-        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {200, {}, R"({"items":[{"handle":"h2"}]})"}).end
-                       == serving::StageCallEnd::Broken);
-        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {200, {}, "x"}).end == serving::StageCallEnd::Broken);
-        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {503, {{"not-executed", "1"}}, ""}).end
-                       == serving::StageCallEnd::Rejected);
-        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {500, {}, ""}).end == serving::StageCallEnd::Broken);
+        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {200, {}, R"({"items":[{"handle":"h2"}]})"}).status
+                       == serving::StageCallStatus::Broken);
+        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {200, {}, "x"}).status
+                       == serving::StageCallStatus::Broken);
+        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {503, {{"not-executed", "1"}}, ""}).status
+                       == serving::StageCallStatus::Rejected);
+        CPPUNIT_ASSERT(platform::decodeStageResponse(call, 2, {500, {}, ""}).status
+                       == serving::StageCallStatus::Broken);
     }
 
     void decodesConfiguration()
@@ -198,20 +200,20 @@
             "services":[{"name":"e","maxConnections":370,"coldStartS":3.0,"coldPerS":11.0,"pieces":{"slots":1,"batch":8,"callMs":150.0,"itemMs":16.0,"headroomMb":45.0,"handleS":4.0}}],
             "tenants":[{"name":"north","apiKeys":["k1","k2"],"priority":1,"allowedRegions":["south","north"]}]})");
         CPPUNIT_ASSERT(catalog.ok());
-        const serving::Route *route = catalog->find("example", "/a/x");
+        const serving::Route *route = catalog->findRoute("example", "/a/x");
         CPPUNIT_ASSERT(route != nullptr);
         CPPUNIT_ASSERT_EQUAL(std::string{"r1"}, route->name);
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, route->topLevel());
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, route->maxLevel());
         CPPUNIT_ASSERT(!route->stages[0].isLeaf && route->stages[1].isLeaf);
         CPPUNIT_ASSERT(route->mayRunTwice());
-        CPPUNIT_ASSERT_EQUAL(std::string{"r2"}, catalog->find("EXAMPLE", "/a/b/x")->name);
-        CPPUNIT_ASSERT(catalog->find("example", "/b/") == nullptr);
-        CPPUNIT_ASSERT(catalog->pool(PoolName{"e"})->batch->itemTime == std::chrono::milliseconds{16});
-        CPPUNIT_ASSERT_EQUAL(std::string{"north"}, catalog->workspaceOfKey.at("k2").name.text());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, catalog->workspaceOfKey.at("k2").regions.size());
-        CPPUNIT_ASSERT_EQUAL(std::string{"north"}, catalog->find("example", "/a/b/x")->regions.at(0).text());
-        CPPUNIT_ASSERT(catalog->pool(PoolName{"e"})->warmup->time == std::chrono::seconds{3});
-        CPPUNIT_ASSERT_EQUAL(11.0, catalog->pool(PoolName{"e"})->warmup->perSecond);
+        CPPUNIT_ASSERT_EQUAL(std::string{"r2"}, catalog->findRoute("EXAMPLE", "/a/b/x")->name);
+        CPPUNIT_ASSERT(catalog->findRoute("example", "/b/") == nullptr);
+        CPPUNIT_ASSERT(catalog->findPool(PoolName{"e"})->batch->itemTime == std::chrono::milliseconds{16});
+        CPPUNIT_ASSERT_EQUAL(std::string{"north"}, catalog->workspaceByApiKey.at("k2").name.text());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, catalog->workspaceByApiKey.at("k2").regions.size());
+        CPPUNIT_ASSERT_EQUAL(std::string{"north"}, catalog->findRoute("example", "/a/b/x")->regions.at(0).text());
+        CPPUNIT_ASSERT(catalog->findPool(PoolName{"e"})->warmup->duration == std::chrono::seconds{3});
+        CPPUNIT_ASSERT_EQUAL(11.0, catalog->findPool(PoolName{"e"})->warmup->requestsPerSecond);
     }
 
     void wrongJsonTypesAreErrors()
@@ -230,7 +232,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1764729600000}, platform::decodeEndpoint("i", good)->incarnation);
         const std::string cold = R"({"service":"s","address":"10.0.0.1:80","zone":"a","slots":4,"state":"ready",)"
                                  R"("coldLeftMs":1500})";
-        CPPUNIT_ASSERT(platform::decodeEndpoint("i", cold)->coldLeft == std::chrono::milliseconds{1500});
+        CPPUNIT_ASSERT(platform::decodeEndpoint("i", cold)->remainingWarmup == std::chrono::milliseconds{1500});
         for (const char *bad : {
                  R"({})",
                  R"([1])",
@@ -276,7 +278,7 @@
         CPPUNIT_ASSERT_EQUAL(original->slots, record->slots);
         CPPUNIT_ASSERT_EQUAL(original->draining, record->draining);
         CPPUNIT_ASSERT_EQUAL(original->incarnation, record->incarnation);
-        CPPUNIT_ASSERT(original->coldLeft == record->coldLeft);
+        CPPUNIT_ASSERT(original->remainingWarmup == record->remainingWarmup);
         CPPUNIT_ASSERT(!platform::decodeEndpoint("i-1", R"(["s",7])").ok());
         CPPUNIT_ASSERT(!platform::decodeEndpoint("i-1", R"(["s",7,"a",4,true,0,0])").ok());
     }
@@ -315,9 +317,9 @@
     void detectsMissingInputs()
     {
         const serving::CallerRequest request = *platform::decodeRequest(CallId{1}, HttpRequest{});
-        CPPUNIT_ASSERT(platform::decodeResponseHead(request, 409, {{"not-executed", "1"}}).inputsGone);
-        CPPUNIT_ASSERT(!platform::decodeResponseHead(request, 409, {}).inputsGone);
-        CPPUNIT_ASSERT(!platform::decodeResponseHead(request, 503, {{"not-executed", "1"}}).inputsGone);
+        CPPUNIT_ASSERT(platform::decodeResponseHead(request, 409, {{"not-executed", "1"}}).areInputsMissing);
+        CPPUNIT_ASSERT(!platform::decodeResponseHead(request, 409, {}).areInputsMissing);
+        CPPUNIT_ASSERT(!platform::decodeResponseHead(request, 503, {{"not-executed", "1"}}).areInputsMissing);
     }
 
     void pagesRoundTrip()
--- a/test/platform/endtoend.cpp
+++ b/test/platform/endtoend.cpp
@@ -47,7 +47,7 @@
     void plainRequestIsProxiedToItsEndpoint()
     {
         m_fixture->publishDefaults();
-        const HttpAnswer answer = m_fixture->call(plainRequest());
+        const HttpResponse answer = m_fixture->call(plainRequest());
         CPPUNIT_ASSERT_EQUAL(200, answer.status);
         CPPUNIT_ASSERT_EQUAL(std::string{"the endpoint's bytes"}, answer.body);
         CPPUNIT_ASSERT_EQUAL(std::string_view{"seal"}, headerValue(answer.headers, "response-seal"));
@@ -80,7 +80,7 @@
     void stageResultsAreProducedBeforeAStreamAndReleasedAfterIt()
     {
         m_fixture->publishDefaults();
-        const HttpAnswer answer = m_fixture->call(streamingRequest());
+        const HttpResponse answer = m_fixture->call(streamingRequest());
         CPPUNIT_ASSERT_EQUAL(200, answer.status);
         CPPUNIT_ASSERT_EQUAL(std::string{"id: 0\ndata: a\n\nid: 1\ndata: b\n\n"}, answer.body);
         const HttpRequest &run = m_fixture->engineEndpoint.runs().front();
@@ -96,7 +96,7 @@
     {
         m_fixture->publishDefaults();
         m_fixture->plainEndpoint.setBehaviour(EndpointBehaviour::NotExecuted);
-        const HttpAnswer answer = m_fixture->call(plainRequest());
+        const HttpResponse answer = m_fixture->call(plainRequest());
         CPPUNIT_ASSERT_EQUAL(503, answer.status);
         CPPUNIT_ASSERT(!headerValue(answer.headers, "retry-after").empty());
         CPPUNIT_ASSERT(m_fixture->plainEndpoint.runs().empty());
@@ -263,15 +263,15 @@
             return condition();
         }
 
-        [[nodiscard]] HttpAnswer call(HttpRequest request)
+        [[nodiscard]] HttpResponse call(HttpRequest request)
         {
-            std::optional<HttpAnswer> answer;
+            std::optional<HttpResponse> answer;
             HttpCallHooks hooks;
-            hooks.done = [&answer](HttpAnswer got) {
+            hooks.done = [&answer](HttpResponse got) {
                 answer = std::move(got);
             };
             hooks.failed = [&answer](HttpFailure failure) {
-                answer = HttpAnswer{0, {}, std::string{enumName(failure)}};
+                answer = HttpResponse{0, {}, std::string{enumName(failure)}};
             };
             caller.call(app.callersAddress(), std::move(request), std::move(hooks), Connection::Fresh);
             CPPUNIT_ASSERT(runUntil([&answer] { return answer.has_value(); }));
--- a/test/platform/fakes.cpp
+++ b/test/platform/fakes.cpp
@@ -62,7 +62,7 @@
 void FakeStore::answerWaitingWatches(int status)
 {
     for (const Watch &watch : std::exchange(m_watches, {})) {
-        watch.responder->answer({status, {}, page("events", watch.after)});
+        watch.responder->respond({status, {}, page("events", watch.after)});
     }
 }
 
@@ -91,21 +91,21 @@
 {
     ++m_requestCount;
     if (m_isUnavailable) {
-        responder->answer({statusUnavailable, {}, {}});
+        responder->respond({statusUnavailable, {}, {}});
         return;
     }
     if (request.path == "/bergamottide/kv-range") {
         const bool isStale = queryValue(request.query, "allowStale") == "1" && !m_staleItems.empty();
-        responder->answer({200, {}, isStale ? stalePage(queryValue(request.query, "after")) : page("items", 0)});
+        responder->respond({200, {}, isStale ? stalePage(queryValue(request.query, "after")) : page("items", 0)});
         return;
     }
     const std::uint64_t after = std::stoull(std::string{queryValue(request.query, "after")});
     if (after < m_discardedRevision) {
-        responder->answer({statusGone, {}, {}});
+        responder->respond({statusGone, {}, {}});
         return;
     }
     if (after < m_revision) {
-        responder->answer({200, {}, page("events", after)});
+        responder->respond({200, {}, page("events", after)});
         return;
     }
     m_watches.push_back({responder, after});
@@ -119,7 +119,7 @@
     const auto found = std::ranges::find(m_watches, responder, &Watch::responder);
     if (found != m_watches.end()) {
         m_watches.erase(found);
-        responder->answer({200, {}, page("events", m_revision)});
+        responder->respond({200, {}, page("events", m_revision)});
     }
 }
 
@@ -193,15 +193,15 @@
         for (const json &handle : body.at("handles")) {
             m_releasedHandles.push_back(handle.get<std::string>());
         }
-        responder->answer({200, {}, {}});
+        responder->respond({200, {}, {}});
         return;
     }
     if (headerValue(request.headers, "expect-instance") != m_instance) {
-        responder->answer({statusMisdirected, {}, {}});
+        responder->respond({statusMisdirected, {}, {}});
         return;
     }
     if (m_behaviour == EndpointBehaviour::NotExecuted) {
-        responder->answer({statusUnavailable, {{"not-executed", "1"}}, {}});
+        responder->respond({statusUnavailable, {{"not-executed", "1"}}, {}});
         return;
     }
     if (request.path == "/bergamottide/stage-run") {
@@ -217,7 +217,7 @@
     for (std::size_t item = 0; item < json::parse(request.body).at("items").size(); ++item) {
         items.push_back({{"handle", absl::StrCat(address(), "/piece-", ++m_pieceCount)}});
     }
-    responder.answer({200, {}, json{{"items", std::move(items)}}.dump()});
+    responder.respond({200, {}, json{{"items", std::move(items)}}.dump()});
 }
 
 void FakePlatformEndpoint::run(const HttpRequest &request, HttpResponder &responder)
@@ -229,7 +229,7 @@
         headers.emplace_back("response-seal", "seal");
     }
     if (headerValue(request.headers, "model").empty()) {
-        responder.answer({200, headers, "the endpoint's bytes"});
+        responder.respond({200, headers, "the endpoint's bytes"});
         return;
     }
     headers.emplace_back("content-type", "text/event-stream");
--- a/test/processes/fleet.cpp
+++ b/test/processes/fleet.cpp
@@ -209,7 +209,7 @@
 {
     auto reply = std::make_shared<Reply>();
     HttpCallHooks hooks;
-    auto head = std::make_shared<HttpAnswer>();
+    auto head = std::make_shared<HttpResponse>();
     hooks.head = [head](int status, const HttpHeaders &headers) {
         head->status = status;
         head->headers = headers;
@@ -217,7 +217,7 @@
     hooks.piece = [reply](std::string_view piece) {
         reply->received.append(piece);
     };
-    hooks.done = [reply, head](const HttpAnswer &) {
+    hooks.done = [reply, head](const HttpResponse &) {
         head->body = reply->received;
         reply->answer = *head;
     };
--- a/test/processes/fleet.h
+++ b/test/processes/fleet.h
@@ -21,7 +21,7 @@
 /*! @brief One answer under way. */
 struct Reply
 {
-    std::optional<HttpAnswer> answer;
+    std::optional<HttpResponse> answer;
     std::optional<HttpFailure> failure;
     /*! @brief Bytes of the body so far. */
     std::string received;
--- a/test/support/checker.cpp
+++ b/test/support/checker.cpp
@@ -54,9 +54,9 @@
     }
 }
 
-void Checker::started(const InstanceName &side, const EndpointStart &start, Duration now)
+void Checker::started(const InstanceName &side, const StartEndpointRun &start, Duration now)
 {
-    const RunId &run = start.run.run;
+    const RunId &run = start.spec.run;
     const auto found = m_records.find(run.request);
     if (found == m_records.end() || run.stage >= found->second.starts.size()) {
         violate("the endpoint of " + side.text() + " started " + describe(run) + ", which nobody asked for");
@@ -64,7 +64,7 @@
     }
     Record &record = found->second;
     ++record.starts[run.stage];
-    if (start.run.body != record.truth.body || start.run.previous != resultBefore(record.truth, run.stage)) {
+    if (start.spec.body != record.truth.body || start.spec.previousResult != resultBefore(record.truth, run.stage)) {
         violate(describe(run) + " was started with the work of another request or stage");
     }
     const bool last = run.stage + 1 == record.starts.size();
@@ -91,7 +91,7 @@
 
 void Checker::told(const EntryEffect &effect, Duration now)
 {
-    if (const auto *piece = std::get_if<CallerPiece>(&effect)) {
+    if (const auto *piece = std::get_if<SendResultPiece>(&effect)) {
         Call &call = m_calls.at(piece->call);
         call.received += piece->piece;
         if (call.answers > 0) {
@@ -99,7 +99,7 @@
         }
         return;
     }
-    const auto *answer = std::get_if<CallerAnswer>(&effect);
+    const auto *answer = std::get_if<SendAnswer>(&effect);
     if (answer == nullptr) {
         return;
     }
@@ -111,7 +111,7 @@
     checkAnswer(found->second, *answer, now);
 }
 
-void Checker::checkAnswer(Call &call, const CallerAnswer &answer, Duration now)
+void Checker::checkAnswer(Call &call, const SendAnswer &answer, Duration now)
 {
     Record &record = m_records.at(call.request);
     ++m_outcomes[answer.outcome];
@@ -129,7 +129,7 @@
     checkRefusal(record, answer, now);
 }
 
-void Checker::checkRefusal(Record &record, const CallerAnswer &answer, Duration now)
+void Checker::checkRefusal(Record &record, const SendAnswer &answer, Duration now)
 {
     const auto &truth = record.truth;
     if (answer.outcome == Outcome::NotRun) {
--- a/test/support/checker.h
+++ b/test/support/checker.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bergamottide/entry/entryevents.h"
-#include "bergamottide/side/sideevents.h"
+#include "bergamottide/sidecar/sidecarevents.h"
 
 #include <map>
 #include <optional>
@@ -45,7 +45,7 @@
     void entryLost(const InstanceName &entry);
 
     /*! @brief A run was handed to the endpoint beside a side. */
-    void started(const InstanceName &side, const EndpointStart &start, Duration now);
+    void started(const InstanceName &side, const StartEndpointRun &start, Duration now);
 
     /*! @brief The first sign that a side's instance is leaving. */
     void leaving(const InstanceName &side, Duration now);
@@ -92,8 +92,8 @@
         std::optional<Duration> noEffectAt;
     };
 
-    void checkAnswer(Call &call, const CallerAnswer &answer, Duration now);
-    void checkRefusal(Record &record, const CallerAnswer &answer, Duration now);
+    void checkAnswer(Call &call, const SendAnswer &answer, Duration now);
+    void checkRefusal(Record &record, const SendAnswer &answer, Duration now);
 
     std::map<RequestId, Record> m_records;
     std::map<CallId, Call> m_calls;
--- a/test/support/engineload.cpp
+++ b/test/support/engineload.cpp
@@ -98,7 +98,7 @@
         candidates.push_back({engine.name, engine.zone, 0, false});
     }
     const std::string attempt = std::to_string(m_next);
-    const GenerationNeeds query{PoolName{"engines"}, chain, attempt, {}, 0, m_options.fetchRate};
+    const GenerationQuery query{PoolName{"engines"}, chain, attempt, {}, 0, m_options.fetchRate};
     if (const auto choice = m_policy(m_tables[process], candidates, query, m_now)) {
         startGeneration(kind, chain, process, *choice);
     }
@@ -108,7 +108,8 @@
                                  const EngineChoice &choice)
 {
     const GenerationNumber number{m_next++};
-    m_tables[process].sent({number, choice.engine, chain, choice.toRead, choice.ahead, choice.expected}, m_now);
+    m_tables[process].recordSent(
+        {number, choice.engine, chain, choice.prefillTokens, choice.queuedTokens, choice.expectedFirstEvent}, m_now);
     Engine &engine = engineOf(choice.engine);
     const TimePoint start = std::max(m_now, engine.busyUntil);
     std::size_t cachedLinks = engine.prefixCache.cachedLinks(chain);
@@ -146,10 +147,11 @@
         return;
     }
     for (std::size_t from = 0; from < m_tables.size(); ++from) {
-        const EngineReport report = m_tables[from].report(InstanceName{"process-" + std::to_string(from)}, 1, m_now);
+        const EngineReport report =
+            m_tables[from].nextReport(InstanceName{"process-" + std::to_string(from)}, 1, m_now);
         for (std::size_t to = 0; to < m_tables.size(); ++to) {
             if (to != from) {
-                m_tables[to].told(report, m_now);
+                m_tables[to].applyReport(report, m_now);
             }
         }
     }
@@ -160,7 +162,7 @@
     while (!m_events.empty() && m_events.top().at <= m_now) {
         const FirstEvent event = m_events.top();
         m_events.pop();
-        m_tables[event.process].began(event.number, event.at);
+        m_tables[event.process].recordFirstEvent(event.number, event.at);
     }
 }
 
@@ -176,7 +178,7 @@
 }
 
 std::optional<EngineChoice> pickByRequestCount(EngineTable &table, const std::vector<EngineCandidate> &candidates,
-                                               const GenerationNeeds &query, TimePoint /*now*/)
+                                               const GenerationQuery &query, TimePoint /*now*/)
 {
     constexpr double factor = 1.5;
     constexpr double allowance = 4.0;
--- a/test/support/engineload.h
+++ b/test/support/engineload.h
@@ -84,7 +84,7 @@
     /*! @brief Chooses an engine for a generation, with the table of the process that sends it. */
     using Policy = std::function<std::optional<engines::EngineChoice>(
         engines::EngineTable &table, const std::vector<engines::EngineCandidate> &candidates,
-        const engines::GenerationNeeds &needs, TimePoint now)>;
+        const engines::GenerationQuery &needs, TimePoint now)>;
 
     /**
      * @brief Creates idle engines.
@@ -145,7 +145,7 @@
  */
 [[nodiscard]] std::optional<engines::EngineChoice>
 pickByRequestCount(engines::EngineTable &table, const std::vector<engines::EngineCandidate> &candidates,
-                   const engines::GenerationNeeds &needs, TimePoint now);
+                   const engines::GenerationQuery &needs, TimePoint now);
 
 /*! @brief Returns a load of long and short prompts with shared parts, as of a design studio. */
 [[nodiscard]] EngineLoadOptions designStudioLoad();
--- a/test/support/exploration.cpp
+++ b/test/support/exploration.cpp
@@ -59,7 +59,7 @@
     for (std::size_t index = 0; index < 2; ++index) {
         const ZoneName zone{"zone-" + std::to_string(index)};
         fleet.members.push_back({{entryName(index), Role::Entry, RegionName{"region"}, zone}, {}, {}});
-        const Instance side{sideName(index), Role::Side, RegionName{"region"}, zone, {}, PoolName{"orders"}};
+        const Instance side{sideName(index), Role::Sidecar, RegionName{"region"}, zone, {}, PoolName{"orders"}};
         fleet.members.push_back({side, {2, milliseconds{1}, 0.0}, {}});
     }
     return fleet;
@@ -125,14 +125,14 @@
         made.caller = [this](const InstanceName &, const EntryEffect &effect) {
             onTold(effect);
         };
-        made.started = [this](const InstanceName &side, const EndpointStart &start) {
+        made.started = [this](const InstanceName &side, const StartEndpointRun &start) {
             m_checker.started(side, start, m_harness.now());
         };
         made.ended = [this](const InstanceName &side, const RunId &run, EndpointResult result, double) {
             onEnded(side, run, result);
         };
-        made.work = [](const EndpointStart &start) {
-            return start.run.stage == StageName{"commit"} ? 60.0 : 20.0;
+        made.work = [](const StartEndpointRun &start) {
+            return start.spec.stage == StageName{"commit"} ? 60.0 : 20.0;
         };
         made.route = [this](const InstanceName &from, const InstanceName &to, const Message &message) {
             return route(from, to, message);
@@ -313,7 +313,7 @@
         }
         note("a caller fetches " + std::to_string(caller.plan.request) + " from " + entryName(caller.entry).text());
         m_harness.toEntry(entryName(caller.entry),
-                          CallerFetched{*caller.call, keyDigest, *caller.ticket, 0, caller.plan.streaming, deadline});
+                          FetchRequested{*caller.call, keyDigest, *caller.ticket, 0, caller.plan.streaming, deadline});
     }
 
     void cancel(Caller &caller)
@@ -324,7 +324,7 @@
         caller.stopped = true;
         const auto call = open(caller, caller.entry);
         note("a caller cancels " + std::to_string(caller.plan.request));
-        m_harness.toEntry(entryName(caller.entry), CallerCanceled{*call, keyDigest, *caller.ticket});
+        m_harness.toEntry(entryName(caller.entry), CancelRequested{*call, keyDigest, *caller.ticket});
     }
 
     void hangUp(Caller &caller)
@@ -371,14 +371,14 @@
     void onTold(const EntryEffect &effect)
     {
         m_checker.told(effect, m_harness.now());
-        if (const auto *told = std::get_if<CallerTicket>(&effect)) {
+        if (const auto *told = std::get_if<SendTicket>(&effect)) {
             for (Caller &caller : m_callers) {
                 if (caller.truth.request == told->ticket.request) {
                     caller.ticket = told->ticket;
                 }
             }
         }
-        const auto *answer = std::get_if<CallerAnswer>(&effect);
+        const auto *answer = std::get_if<SendAnswer>(&effect);
         if (answer == nullptr) {
             return;
         }
--- a/test/support/fakeendpoint.cpp
+++ b/test/support/fakeendpoint.cpp
@@ -34,10 +34,10 @@
 {
 }
 
-void FakeEndpoint::start(const EndpointStart &start, double units, TimePoint now)
+void FakeEndpoint::start(const StartEndpointRun &start, double units, TimePoint now)
 {
     work(now);
-    Run run{start.run.run, stageResult(start.run.stage, start.run.body, start.run.previous), units};
+    Run run{start.spec.run, stageResult(start.spec.stage, start.spec.body, start.spec.previousResult), units};
     run.fails = m_failing;
     if (m_failing) {
         run.units = 1000.0 / static_cast<double>(m_law.perUnit.count());
@@ -57,21 +57,21 @@
     return done;
 }
 
-std::vector<SideEvent> FakeEndpoint::crash(TimePoint now)
+std::vector<SidecarEvent> FakeEndpoint::crash(TimePoint now)
 {
     work(now);
-    std::vector<SideEvent> events;
+    std::vector<SidecarEvent> events;
     for (const Run &run : m_runs) {
-        events.emplace_back(EndpointFinished{run.id, EndpointResult::Failed, Reason::ConnectionLost});
+        events.emplace_back(EndpointRunEnded{run.id, EndpointResult::Failed, Reason::ConnectionLost});
     }
     m_runs.clear();
     return events;
 }
 
-std::vector<SideEvent> FakeEndpoint::advance(TimePoint now)
+std::vector<SidecarEvent> FakeEndpoint::advance(TimePoint now)
 {
     work(now);
-    std::vector<SideEvent> events;
+    std::vector<SidecarEvent> events;
     const auto count = batch();
     for (std::size_t index = 0; index < count; ++index) {
         emit(m_runs[index], events);
@@ -83,7 +83,7 @@
     return events;
 }
 
-void FakeEndpoint::emit(Run &run, std::vector<SideEvent> &events) const
+void FakeEndpoint::emit(Run &run, std::vector<SidecarEvent> &events) const
 {
     while (run.sent < pieceCount && run.done + epsilon >= nextBoundary(run.units, run.sent)) {
         const auto from = run.result.size() * run.sent / pieceCount;
@@ -91,14 +91,14 @@
         const auto to = run.result.size() * run.sent / pieceCount;
         if (!run.fails) {
             const auto tokens = static_cast<std::uint32_t>(run.units / pieceCount);
-            events.emplace_back(EndpointPiece{run.id, run.result.substr(from, to - from), tokens});
+            events.emplace_back(EndpointResultPiece{run.id, run.result.substr(from, to - from), tokens});
         }
     }
     if (run.sent < pieceCount) {
         return;
     }
     const auto result = run.fails ? EndpointResult::Failed : EndpointResult::Completed;
-    events.emplace_back(EndpointFinished{run.id, result, run.fails ? Reason::EndpointFailed : Reason::None});
+    events.emplace_back(EndpointRunEnded{run.id, result, run.fails ? Reason::EndpointFailed : Reason::None});
 }
 
 std::optional<TimePoint> FakeEndpoint::nextTime() const
@@ -127,10 +127,10 @@
     m_failing = failing;
 }
 
-EndpointReport FakeEndpoint::report() const
+EndpointLoadReport FakeEndpoint::report() const
 {
     const auto running = static_cast<std::uint32_t>(batch());
-    return EndpointReport{running, static_cast<std::uint32_t>(m_runs.size()) - running, {}, 0};
+    return EndpointLoadReport{running, static_cast<std::uint32_t>(m_runs.size()) - running, {}, 0};
 }
 
 double FakeEndpoint::lastWork(const RunId &run) const
--- a/test/support/fakeendpoint.h
+++ b/test/support/fakeendpoint.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bergamottide/side/sideevents.h"
+#include "bergamottide/sidecar/sidecarevents.h"
 
 #include <optional>
 #include <string>
@@ -45,7 +45,7 @@
      * @param units Work it takes, in the units of the law.
      * @param now Time.
      */
-    void start(const EndpointStart &start, double units, TimePoint now);
+    void start(const StartEndpointRun &start, double units, TimePoint now);
 
     /**
      * @brief Stops a run; nothing further is said of it.
@@ -54,10 +54,10 @@
     double cancel(const RunId &run, TimePoint now);
 
     /*! @brief Ends every run at once with a failure, as a crash of the endpoint does. */
-    [[nodiscard]] std::vector<SideEvent> crash(TimePoint now);
+    [[nodiscard]] std::vector<SidecarEvent> crash(TimePoint now);
 
     /*! @brief Returns pieces and ends of runs up to a time. */
-    [[nodiscard]] std::vector<SideEvent> advance(TimePoint now);
+    [[nodiscard]] std::vector<SidecarEvent> advance(TimePoint now);
 
     /*! @brief Returns the time of the next piece or end, if any run is in progress. */
     [[nodiscard]] std::optional<TimePoint> nextTime() const;
@@ -69,7 +69,7 @@
     void setFailing(bool failing);
 
     /*! @brief Returns the load as the endpoint itself sees it. */
-    [[nodiscard]] EndpointReport report() const;
+    [[nodiscard]] EndpointLoadReport report() const;
 
     /*! @brief Returns the units of work done for a run that `advance` has just ended. */
     [[nodiscard]] double lastWork(const RunId &run) const;
@@ -91,7 +91,7 @@
     [[nodiscard]] std::size_t batch() const;
     [[nodiscard]] double unitMicroseconds() const;
     void work(TimePoint now);
-    void emit(Run &run, std::vector<SideEvent> &events) const;
+    void emit(Run &run, std::vector<SidecarEvent> &events) const;
 
     ServiceLaw m_law;
     std::vector<Run> m_runs;
--- a/test/support/harness.cpp
+++ b/test/support/harness.cpp
@@ -42,8 +42,8 @@
     factory.entry = [](const EntryIdentity &identity) {
         return wrap<EntryReducer, EntryEvent, EntryEffects>(std::make_shared<EntryReducer>(identity));
     };
-    factory.side = [](const SideIdentity &identity) {
-        return wrap<SideReducer, SideEvent, SideEffects>(std::make_shared<SideReducer>(identity));
+    factory.side = [](const SidecarIdentity &identity) {
+        return wrap<SidecarReducer, SidecarEvent, SidecarEffects>(std::make_shared<SidecarReducer>(identity));
     };
     return factory;
 }
@@ -97,7 +97,7 @@
     deliver(entry, "caller", event);
 }
 
-void Harness::toSide(const InstanceName &side, SideEvent event)
+void Harness::toSide(const InstanceName &side, SidecarEvent event)
 {
     deliver(side, "operator", event);
 }
@@ -187,7 +187,7 @@
 {
     Process &beside = process(side);
     trace("the endpoint of " + side.text() + " crashes");
-    for (const SideEvent &event : beside.endpoint.crash(localNow(beside))) {
+    for (const SidecarEvent &event : beside.endpoint.crash(localNow(beside))) {
         deliver(side, "endpoint", event);
     }
 }
@@ -301,7 +301,7 @@
 
 std::vector<InstanceName> Harness::peersOf(const Process &process) const
 {
-    return names(process.member.instance.role == Role::Entry ? Role::Side : Role::Entry);
+    return names(process.member.instance.role == Role::Entry ? Role::Sidecar : Role::Entry);
 }
 
 void Harness::trace(const std::string &line) const
@@ -396,9 +396,9 @@
                 applyEntry(target, EntryEvent{event});
             }
         }
-        if constexpr (std::is_constructible_v<SideEvent, Event>) {
-            if (target.member.instance.role == Role::Side) {
-                applySide(target, SideEvent{event});
+        if constexpr (std::is_constructible_v<SidecarEvent, Event>) {
+            if (target.member.instance.role == Role::Sidecar) {
+                applySide(target, SidecarEvent{event});
             }
         }
     });
@@ -422,7 +422,7 @@
             }
             continue;
         }
-        if (const auto *answer = std::get_if<CallerAnswer>(&effect)) {
+        if (const auto *answer = std::get_if<SendAnswer>(&effect)) {
             trace(name.text() + " answers " + std::to_string(answer->request.low) + " "
                   + std::string{enumName(answer->outcome)} + " " + std::string{enumName(answer->reason)});
         }
@@ -432,16 +432,16 @@
     }
 }
 
-void Harness::applySide(Process &process, const SideEvent &event)
+void Harness::applySide(Process &process, const SidecarEvent &event)
 {
-    for (const SideEffect &effect : process.side.apply(event, localNow(process))) {
+    for (const SidecarEffect &effect : process.side.apply(event, localNow(process))) {
         if (const auto *message = std::get_if<SendMessage>(&effect)) {
             send(process, *message);
-        } else if (const auto *start = std::get_if<EndpointStart>(&effect)) {
+        } else if (const auto *start = std::get_if<StartEndpointRun>(&effect)) {
             startRun(process, *start);
-        } else if (const auto *cancel = std::get_if<EndpointCancel>(&effect)) {
+        } else if (const auto *cancel = std::get_if<CancelEndpointRun>(&effect)) {
             cancelRun(process, *cancel);
-        } else if (const auto *order = std::get_if<GiveOrder>(&effect)) {
+        } else if (const auto *order = std::get_if<SendOrder>(&effect)) {
             answerOrder(process, *order);
         } else if (const auto *observed = std::get_if<Observe>(&effect); observed && m_hooks.observed) {
             m_hooks.observed(process.member.instance.name, *observed);
@@ -533,19 +533,19 @@
     deliver(right, "peer down", PeerDown{left});
 }
 
-void Harness::startRun(Process &process, const EndpointStart &start)
+void Harness::startRun(Process &process, const StartEndpointRun &start)
 {
     const auto name = process.member.instance.name;
-    trace("the endpoint of " + name.text() + " starts " + describe(start.run.run));
+    trace("the endpoint of " + name.text() + " starts " + describe(start.spec.run));
     if (m_hooks.started) {
         m_hooks.started(name, start);
     }
-    const double units = m_hooks.work ? m_hooks.work(start) : start.run.size;
+    const double units = m_hooks.work ? m_hooks.work(start) : start.spec.size;
     process.endpoint.start(start, units, localNow(process));
     armEndpoint(process);
 }
 
-void Harness::cancelRun(Process &process, const EndpointCancel &cancel)
+void Harness::cancelRun(Process &process, const CancelEndpointRun &cancel)
 {
     const double done = process.endpoint.cancel(cancel.run, localNow(process));
     if (m_hooks.ended) {
@@ -554,7 +554,7 @@
     armEndpoint(process);
 }
 
-void Harness::answerOrder(Process &process, const GiveOrder &order)
+void Harness::answerOrder(Process &process, const SendOrder &order)
 {
     if (order.kind == OrderKind::LoadModel) {
         process.member.models.push_back(order.model);
@@ -562,7 +562,7 @@
     if (order.kind == OrderKind::UnloadModel) {
         std::erase(process.member.models, order.model);
     }
-    at(m_now + orderTime, [this, name = process.member.instance.name, fence = order.fence] {
+    at(m_now + orderTime, [this, name = process.member.instance.name, fence = order.fencingToken] {
         deliver(name, "order answered", OrderAnswered{fence, true});
     });
 }
@@ -570,8 +570,8 @@
 void Harness::advanceEndpoint(const InstanceName &name)
 {
     Process &beside = process(name);
-    for (const SideEvent &event : beside.endpoint.advance(localNow(beside))) {
-        const auto *finished = std::get_if<EndpointFinished>(&event);
+    for (const SidecarEvent &event : beside.endpoint.advance(localNow(beside))) {
+        const auto *finished = std::get_if<EndpointRunEnded>(&event);
         if (finished != nullptr && m_hooks.ended) {
             m_hooks.ended(name, finished->run, finished->result, beside.endpoint.lastWork(finished->run));
         }
@@ -611,7 +611,7 @@
     if (m_reportsHeld) {
         return;
     }
-    EndpointReport report = beside.endpoint.report();
+    EndpointLoadReport report = beside.endpoint.report();
     report.models = beside.member.models;
     at(m_now + m_reportLag, [this, name, life, report] {
         if (process(name).life == life) {
