--- a/test/support/harness.h
+++ b/test/support/harness.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bergamottide/entry/entryreducer.h"
-#include "bergamottide/side/sidereducer.h"
+#include "bergamottide/sidecar/sidecarreducer.h"
 #include "support/fakeendpoint.h"
 
 #include <deque>
@@ -27,13 +27,13 @@
 };
 
 using EntryLogic = Logic<EntryEvent, EntryEffects>;
-using SideLogic = Logic<SideEvent, SideEffects>;
+using SideLogic = Logic<SidecarEvent, SidecarEffects>;
 
 /*! @brief Makes the logic of each process, also at each restart. */
 struct LogicFactory
 {
     std::function<EntryLogic(const EntryIdentity &)> entry;
-    std::function<SideLogic(const SideIdentity &)> side;
+    std::function<SideLogic(const SidecarIdentity &)> side;
 };
 
 /*! @brief Returns the factory of the real reducers. */
@@ -68,13 +68,13 @@
     /*! @brief An entry told a caller its ticket, a piece or the answer. */
     std::function<void(const InstanceName &, const EntryEffect &)> caller;
     /*! @brief A run was handed to an endpoint. */
-    std::function<void(const InstanceName &, const EndpointStart &)> started;
+    std::function<void(const InstanceName &, const StartEndpointRun &)> started;
     /*! @brief A run has ended at an endpoint; the number is the work done for it, in units. */
     std::function<void(const InstanceName &, const RunId &, EndpointResult, double)> ended;
     /*! @brief An entry or a side counted something. */
     std::function<void(const InstanceName &, const Observe &)> observed;
     /*! @brief Work that a run will take, in units; the size the entry has estimated when empty. */
-    std::function<double(const EndpointStart &)> work;
+    std::function<double(const StartEndpointRun &)> work;
     /*! @brief Extra delays with which a message arrives: none loses it, two repeat it. */
     std::function<std::vector<Duration>(const InstanceName &, const InstanceName &, const Message &)> route;
     /*! @brief Called before each event of a process. */
@@ -112,7 +112,7 @@
     void toEntry(const InstanceName &entry, EntryEvent event);
 
     /*! @brief Hands an event to a side; dropped while it is down, late while it is paused. */
-    void toSide(const InstanceName &side, SideEvent event);
+    void toSide(const InstanceName &side, SidecarEvent event);
 
     /*! @brief Ends a process without notice; the runs of a side end with it. */
     void crash(const InstanceName &name);
@@ -222,7 +222,7 @@
     template <typename Event>
     void deliver(const InstanceName &name, std::string_view what, const Event &event);
     void applyEntry(Process &process, const EntryEvent &event);
-    void applySide(Process &process, const SideEvent &event);
+    void applySide(Process &process, const SidecarEvent &event);
     void arm(Process &process);
     void onWake(const InstanceName &name, std::uint64_t life);
     void resume(const InstanceName &name);
@@ -231,9 +231,9 @@
     void reopen(const Process &from, const InstanceName &peer);
     void linkUp(const InstanceName &left, const InstanceName &right);
     void linkDown(const InstanceName &left, const InstanceName &right);
-    void startRun(Process &process, const EndpointStart &start);
-    void cancelRun(Process &process, const EndpointCancel &cancel);
-    void answerOrder(Process &process, const GiveOrder &order);
+    void startRun(Process &process, const StartEndpointRun &start);
+    void cancelRun(Process &process, const CancelEndpointRun &cancel);
+    void answerOrder(Process &process, const SendOrder &order);
     void advanceEndpoint(const InstanceName &name);
     void armEndpoint(Process &process);
     void reportLoad(const InstanceName &name, std::uint64_t life);
--- a/test/support/naive.cpp
+++ b/test/support/naive.cpp
@@ -69,7 +69,7 @@
         start.pipeline = request.submitted.pipeline;
         start.stage = stage.name;
         start.body = request.submitted.body;
-        start.previous = request.previous;
+        start.previousResult = request.previous;
         start.maxTokens = request.submitted.maxTokens;
         start.remaining = request.deadline - now;
         effects.emplace_back(SendMessage{nextOf(stage.pool), std::move(start)});
@@ -119,7 +119,7 @@
     void answer(const Request &request, Outcome outcome, EntryEffects &effects)
     {
         const auto id = request.submitted.request;
-        CallerAnswer done{request.submitted.call, id, outcome};
+        SendAnswer done{request.submitted.call, id, outcome};
         done.body = outcome == Outcome::Completed ? request.previous : std::string{};
         effects.emplace_back(std::move(done));
         m_due.erase({request.due, id});
@@ -164,18 +164,18 @@
     {
     }
 
-    SideEffects apply(const SideEvent &event, TimePoint)
+    SidecarEffects apply(const SidecarEvent &event, TimePoint)
     {
-        SideEffects effects;
+        SidecarEffects effects;
         if (const auto *config = std::get_if<ConfigChanged>(&event)) {
             m_document = config->document;
         } else if (const auto *message = std::get_if<PeerMessage>(&event)) {
             if (const auto *start = std::get_if<StartRun>(&message->message)) {
                 m_queue.push_back({message->from, *start});
             }
-        } else if (const auto *piece = std::get_if<EndpointPiece>(&event)) {
+        } else if (const auto *piece = std::get_if<EndpointResultPiece>(&event)) {
             forwardPiece(*piece, effects);
-        } else if (const auto *finished = std::get_if<EndpointFinished>(&event)) {
+        } else if (const auto *finished = std::get_if<EndpointRunEnded>(&event)) {
             forwardEnd(*finished, effects);
         }
         startQueued(effects);
@@ -194,13 +194,13 @@
         StartRun start;
     };
 
-    void forwardPiece(const EndpointPiece &piece, SideEffects &effects)
+    void forwardPiece(const EndpointResultPiece &piece, SidecarEffects &effects)
     {
         const RunProgress progress{piece.run, RunState::Running, 0, piece.piece, piece.tokens};
         effects.emplace_back(SendMessage{m_running.at(piece.run), progress});
     }
 
-    void forwardEnd(const EndpointFinished &finished, SideEffects &effects)
+    void forwardEnd(const EndpointRunEnded &finished, SidecarEffects &effects)
     {
         const bool completed = finished.result == EndpointResult::Completed;
         RunFinished end{finished.run, completed ? RunState::Completed : RunState::Failed, finished.reason};
@@ -208,7 +208,7 @@
         m_running.erase(finished.run);
     }
 
-    void startQueued(SideEffects &effects)
+    void startQueued(SidecarEffects &effects)
     {
         if (!m_document) {
             return;
@@ -218,7 +218,7 @@
             Queued next = std::move(m_queue.front());
             m_queue.pop_front();
             m_running[next.start.run] = next.from;
-            effects.emplace_back(EndpointStart{std::move(next.start), pool});
+            effects.emplace_back(StartEndpointRun{std::move(next.start), pool});
         }
     }
 
@@ -241,9 +241,9 @@
                               return entry->inProgress();
                           }};
     };
-    factory.side = [](const SideIdentity &identity) {
+    factory.side = [](const SidecarIdentity &identity) {
         const auto side = std::make_shared<NaiveSide>(identity.pool);
-        return SideLogic{[side](const SideEvent &event, TimePoint now) { return side->apply(event, now); },
+        return SideLogic{[side](const SidecarEvent &event, TimePoint now) { return side->apply(event, now); },
                          [] { return std::optional<TimePoint>{}; },
                          [side] {
                              return side->inProgress();
--- a/test/support/policyfigures.cpp
+++ b/test/support/policyfigures.cpp
@@ -473,7 +473,7 @@
 void cutHalf(Harness &harness)
 {
     const auto entries = harness.names(Role::Entry);
-    const auto sides = harness.names(Role::Side);
+    const auto sides = harness.names(Role::Sidecar);
     for (std::size_t entry = 0; entry < entries.size(); ++entry) {
         for (std::size_t side = 0; side < sides.size(); ++side) {
             if (isCutOff(entry) && isCutOff(side)) {
@@ -489,7 +489,7 @@
     Scenario reached = scenario;
     std::vector<InstanceName> sides;
     for (const Member &member : scenario.fleet.members) {
-        if (member.instance.role == Role::Side) {
+        if (member.instance.role == Role::Sidecar) {
             sides.push_back(member.instance.name);
         }
     }
@@ -554,7 +554,7 @@
     measurement.add(recovered("after an overload, change in points", flooded, measurement.run(flooded), start, stop));
     Scenario failing = measurement.scenario(base);
     failing.disturb = [start, stop](Harness &harness) {
-        for (std::size_t index = 0; index < harness.names(Role::Side).size(); ++index) {
+        for (std::size_t index = 0; index < harness.names(Role::Sidecar).size(); ++index) {
             const InstanceName side{"engines-" + std::to_string(index)};
             if (index % 2 == 1 || !harness.knows(side)) {
                 continue;
--- a/test/support/scenario.cpp
+++ b/test/support/scenario.cpp
@@ -92,7 +92,7 @@
 void addSides(Fleet &fleet, const std::string &pool, std::size_t count)
 {
     for (std::size_t index = 0; index < count; ++index) {
-        Instance side{InstanceName{pool + "-" + std::to_string(index)}, Role::Side, RegionName{"region"}};
+        Instance side{InstanceName{pool + "-" + std::to_string(index)}, Role::Sidecar, RegionName{"region"}};
         side.zone = ZoneName{"zone-" + std::to_string(index % 3)};
         side.pool = PoolName{pool};
         fleet.members.push_back({side, lawOf(side.pool), {ModelName{"base"}}});
@@ -153,7 +153,7 @@
         made.caller = [this](const InstanceName &, const EntryEffect &effect) {
             onTold(effect);
         };
-        made.started = [this](const InstanceName &side, const EndpointStart &start) {
+        made.started = [this](const InstanceName &side, const StartEndpointRun &start) {
             m_pools.try_emplace(side, start.pool.name);
             m_startedAt = side;
             if (m_checked) {
@@ -165,7 +165,7 @@
             const double time = units / unitsPerSecond(lawOf(pool));
             m_work[run.request.low].push_back({pool, time, result == EndpointResult::Completed});
         };
-        made.work = [this](const EndpointStart &start) {
+        made.work = [this](const StartEndpointRun &start) {
             return unitsOf(start);
         };
         made.observed = [this](const InstanceName &, const Observe &observed) {
@@ -212,10 +212,10 @@
         m_checker.expect(std::move(truth));
     }
 
-    double unitsOf(const EndpointStart &start)
+    double unitsOf(const StartEndpointRun &start)
     {
-        const Arrival &arrival = m_scenario.arrivals[start.run.run.request.low];
-        const double units = arrival.units[start.run.run.stage];
+        const Arrival &arrival = m_scenario.arrivals[start.spec.run.request.low];
+        const double units = arrival.units[start.spec.run.stage];
         if (arrival.prefix == 0 || start.pool.kind != PoolKind::Engine) {
             return units;
         }
@@ -243,7 +243,7 @@
         if (m_checked) {
             m_checker.told(effect, m_harness.now());
         }
-        const auto *answer = std::get_if<CallerAnswer>(&effect);
+        const auto *answer = std::get_if<SendAnswer>(&effect);
         if (answer == nullptr) {
             return;
         }
@@ -263,7 +263,7 @@
             return;
         }
         const auto limit = m_scenario.fleet.document->policy.queueLimit;
-        for (const InstanceName &side : m_harness.names(Role::Side)) {
+        for (const InstanceName &side : m_harness.names(Role::Sidecar)) {
             const auto length = m_harness.inProgress(side);
             if (length > limit + lawOf(poolOf(side)).concurrency) {
                 m_checker.violate(side.text() + " holds " + std::to_string(length) + " runs");
@@ -478,7 +478,7 @@
 {
     std::map<PoolName, double> capacity;
     for (const Member &member : fleet.members) {
-        if (member.instance.role == Role::Side) {
+        if (member.instance.role == Role::Sidecar) {
             capacity[member.instance.pool] += unitsPerSecond(member.law);
         }
     }
