--- a/src/bergamottide/serving/catalog.h
+++ b/src/bergamottide/serving/catalog.h
@@ -57,7 +57,7 @@
     std::string host;
     std::string pathPrefix;
     RouteKind kind{};
-    /*! @brief Time from arrival after which a request is given up. */
+    /*! @brief Time from arrival after which a request times out. */
     Duration timeout{};
     /*! @brief Time from arrival within which the response, or the first event of a stream, is on time. */
     Duration objective{};
--- a/src/bergamottide/serving/events.h
+++ b/src/bergamottide/serving/events.h
@@ -242,7 +242,7 @@
     Heartbeat heartbeat;
 };
 
-/*! @brief Event: a peer has freed results whose memory this process accounts for. */
+/*! @brief Event: a peer has released results whose memory this process accounts for. */
 struct PeerReleasedResults
 {
     std::vector<std::string> handles;
@@ -251,7 +251,7 @@
 /*! @brief Event: settings that can be reloaded at run time have changed. */
 struct SettingsChanged
 {
-    /*! @brief Addresses of some peers. */
+    /*! @brief Addresses of some peers, contacted first to discover the others. */
     std::vector<std::string> seeds;
     RetryBudgetOptions retries;
 };
@@ -387,7 +387,7 @@
     StageCallNumber call{};
 };
 
-/*! @brief Effect: frees results at the endpoint that stores them. */
+/*! @brief Effect: releases results at the endpoint that stores them. */
 struct ReleaseResults
 {
     std::string address;
@@ -414,7 +414,7 @@
     std::vector<StageOutcome> outcomes;
 };
 
-/*! @brief Effect: notifies a peer that results have been freed. */
+/*! @brief Effect: notifies a peer that results have been released. */
 struct NotifyReleasedResults
 {
     PeerInfo peer;
--- a/src/bergamottide/serving/request.h
+++ b/src/bergamottide/serving/request.h
@@ -27,7 +27,7 @@
     std::uint32_t completedPieces{};
     /*! @brief One for each piece; without a handle until the piece is done. */
     std::vector<StoredResult> results;
-    /*! @brief The results have been freed. */
+    /*! @brief The results have been released. */
     bool isReleased{};
 
     [[nodiscard]] bool isDone() const noexcept
@@ -91,7 +91,7 @@
     bool isStreamStarted{};
     EventSplitter eventSplitter;
 
-    /*! @brief Returns whether inputs that another run would need have been freed. */
+    /*! @brief Returns whether inputs that another run would need have been released. */
     [[nodiscard]] bool hasReleasedInputs() const noexcept
     {
         for (std::size_t stage = 0; stage < stages.size(); ++stage) {
--- a/src/bergamottide/serving/servingengines.cpp
+++ b/src/bergamottide/serving/servingengines.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/*! @brief Factor on the estimated fetch time, to which `fetchTimeMargin` is added. Generous because inputs freed too
+/*! @brief Factor on the estimated fetch time, to which `fetchTimeMargin` is added. Generous because inputs released too
  * early cost a restart of all stages. */
 constexpr double fetchTimeFactor = 2.0;
 constexpr Duration fetchTimeMargin = std::chrono::milliseconds{100};
@@ -67,8 +67,8 @@
     return bytes;
 }
 
-/*! @brief Schedules the release of a request's inputs for the time at which the engine should have fetched them, which
- * it does before it reads the prompt. */
+/*! @brief Schedules the release of a request's inputs for when the engine should have fetched them, which it does
+ * before the prefill. */
 void ServingReducer::scheduleInputRelease(Request &request, const engines::EngineChoice &choice)
 {
     double seconds = 0.0;
@@ -87,8 +87,8 @@
 }
 
 /*
- * Frees inputs that an engine should have fetched by now, where memory is scarce. Until the first event they would keep
- * other results out of the stage pool's memory.
+ * Releases inputs that an engine should have fetched by now, where memory is scarce. Until the first event they would
+ * keep other results out of the stage pool's memory.
  */
 void ServingReducer::releaseFetchedInputs()
 {
--- a/src/bergamottide/serving/servingreducer.cpp
+++ b/src/bergamottide/serving/servingreducer.cpp
@@ -11,17 +11,17 @@
 
 /*! @brief Rank distance between adjacent workspace priorities; larger than any route priority. */
 constexpr int workspaceRankStep = 100;
-/*! @brief Retry delay suggested to a rejected caller, unless its forecast is later. */
+/*! @brief Retry delay suggested to a rejected caller, unless the forecast lateness is longer. */
 constexpr Duration defaultRetryAfter = std::chrono::milliseconds{300};
 /*! @brief Forecast lateness up to which a request is admitted; covers forecast errors. */
 constexpr Duration maxLateness = std::chrono::milliseconds{300};
 constexpr Duration minRetryAfter = std::chrono::milliseconds{50};
-/*! @brief Suggested retry delays are at most this fraction of the remaining time, as callers cut longer ones to it. */
+/*! @brief Suggested retry delays are at most the remaining time divided by this; callers shorten longer ones anyway. */
 constexpr int retryAfterDivisor = 3;
 /*! @brief Deadline of a request that has none. */
 constexpr Duration defaultDeadline = std::chrono::seconds{60};
 
-/*! @brief Subtracted from the caller's deadline for network time; a later response would not reach the caller in time.
+/*! @brief Subtracted from the caller's deadline to allow for the network time of the response.
  */
 constexpr Duration responseMargin = std::chrono::milliseconds{25};
 /*!
@@ -354,7 +354,7 @@
     finish(request, enumName(kind));
 }
 
-/*! @brief Ends a request whatever its state: records metrics, cancels its work and frees its results. */
+/*! @brief Ends a request whatever its state: records metrics, cancels its work and releases its results. */
 void ServingReducer::finish(Request &request, std::string_view outcome)
 {
     const CallId call = request.callerRequest->call;
--- a/src/bergamottide/serving/servingreducer.h
+++ b/src/bergamottide/serving/servingreducer.h
@@ -34,7 +34,7 @@
     RetryBudgetOptions retries;
     /*! @brief This process, as its peers know it. */
     PeerInfo self;
-    /*! @brief Addresses of some peers to contact first. */
+    /*! @brief Addresses of some peers, contacted first to discover the others. */
     std::vector<std::string> seeds;
     /*! @brief Differs for each start of the process. */
     std::uint64_t incarnation{};
@@ -211,7 +211,7 @@
     std::map<StageTaskId, StageTask> m_deferredTasks;
     /*! @brief Tasks delegated to peers, with the peer. */
     std::map<StageTaskId, std::pair<InstanceName, StageTask>> m_delegatedTasks;
-    /*! @brief Tasks submitted by peers, by their local identity. */
+    /*! @brief Tasks submitted by peers, by the task identity used in this process. */
     std::map<StageTaskId, PeerTask> m_peerTasks;
     std::map<PeerTaskNumber, StageTaskId> m_peerTaskIds;
     /*! @brief Pools with tasks here whose queue another process owns, and since when. */
@@ -220,7 +220,7 @@
     std::set<std::pair<TimePoint, CallId>> m_deadlines;
     /*! @brief Delayed stages, by start time. */
     std::set<std::tuple<TimePoint, CallId, std::uint32_t>> m_delayedStages;
-    /*! @brief Requests whose inputs can be freed, by the time at which their engine has fetched them. */
+    /*! @brief Requests whose inputs can be released, by the time at which their engine has fetched them. */
     std::set<std::pair<TimePoint, CallId>> m_inputReleases;
     TimePoint m_nextHeartbeatAt{};
     std::uint64_t m_nextRun{1};
--- a/src/bergamottide/serving/servingruns.cpp
+++ b/src/bergamottide/serving/servingruns.cpp
@@ -13,7 +13,8 @@
 /*! @brief Lowest priority that an engine accepts; zero is the highest. */
 constexpr int leastUrgentRank = 9;
 
-/*! @brief A run is stalled without response headers after this multiple of the pool's average, at least `minStallTime`.
+/*! @brief A run counts as stalled if it has no response headers after this multiple of the pool's average time, and not
+ * before `minStallTime`.
  */
 constexpr int stallFactor = 6;
 constexpr Duration minStallTime = std::chrono::milliseconds{1000};
@@ -162,7 +163,7 @@
     }
 }
 
-/*! @brief Returns whether the request's engine cannot reach its inputs; engines of other zones may. */
+/*! @brief Returns whether the request's engine cannot fetch inputs across zones, while engines in other zones may. */
 bool ServingReducer::areInputsUnreachable(const Request &request)
 {
     const Endpoint *engine = m_endpoints.find(request.endpoint);
@@ -241,7 +242,7 @@
     }
     std::string events = request->eventSplitter.append(event.bytes);
     if (!events.empty()) {
-        // The engine has fetched its inputs by the first event. Freeing them now relieves the stage pools; a stream
+        // The engine has fetched its inputs by the first event. Releasing them now relieves the stage pools; a stream
         // that fails later has to repeat its stages.
         for (StageProgress &stage : request->stages) {
             releaseResults(stage);
@@ -303,7 +304,7 @@
     }
     if (event.failure == RunFailure::ConnectFailed) {
         endRun(*request, EndpointOutcome::ConnectFailed);
-        // Nothing was sent, so the request was not executed.
+        // Nothing was sent, so the retry is safe for any route.
         retryOrFail(*request, false, ErrorKind::Unavailable);
         return;
     }
@@ -327,7 +328,7 @@
 
 void ServingReducer::retryOrFail(Request &request, bool mayHaveRun, ErrorKind otherwise)
 {
-    // A rejected request was not executed, so one more endpoint may be tried than may execute it.
+    // A request that was not executed may be sent to one more endpoint than `maxAttempts`.
     const std::size_t sends = request.route->maxAttempts + (mayHaveRun ? 0 : 1);
     const bool allowed = !mayHaveRun || request.route->mayRunTwice();
     if (allowed && request.triedEndpoints.size() < sends && request.executions < request.route->maxAttempts
--- a/src/bergamottide/serving/servingstages.cpp
+++ b/src/bergamottide/serving/servingstages.cpp
@@ -17,12 +17,12 @@
 /*! @brief Traffic between zones, in bytes, from which a stage prefers a zone; below, waiting for the zone costs more
  * than it saves. */
 constexpr std::uint64_t minBytesForZonePreference = 200'000;
-/*! @brief Shorter delays of a stage are not worth a wakeup. */
+/*! @brief A stage is started at once if its delay would be shorter. */
 constexpr Duration minStartDelay = std::chrono::milliseconds{20};
 
 /*! @brief Used share of a pool's result memory above which it counts as scarce. */
 constexpr double scarceMemoryShare = 0.6;
-/*! @brief Subtracted from the lifetime of a result, which begins at the endpoint before the result is reported. */
+/*! @brief Subtracted from `resultTtl`, which starts at the endpoint before this process learns of the result. */
 constexpr Duration resultTtlMargin = std::chrono::milliseconds{300};
 
 } // namespace
@@ -33,7 +33,7 @@
     processStageOutcomes();
 }
 
-/*! @brief Starts the next level with stages once the current one is done; starts the run after the last. */
+/*! @brief Starts the next level of stages once the current one is done, or the run after the last level. */
 void ServingReducer::advance(Request &request)
 {
     while (request.level > 0) {
@@ -168,8 +168,8 @@
 }
 
 /*
- * Returns when the first input of a task may expire, at most the deadline. A task that is still queued then is given
- * up: its call would fail and repeat the whole chain of stages.
+ * Returns when the first input of a task may expire, at most the deadline. A task that is still queued then is dropped,
+ * because its call would fail and the whole chain of stages would have to be repeated.
  */
 TimePoint ServingReducer::inputExpiry(const Request &request, const std::vector<std::uint32_t> &stages) const
 {
@@ -227,7 +227,7 @@
     m_tasks.erase(found);
     for (const std::uint32_t before : request->route->stages[stage].dependencies) {
         if (before < request->stages.size()) {
-            // The scheduler of the finished task has already freed its inputs.
+            // The scheduler of the finished task has already released its inputs.
             request->stages[before].isReleased = true;
         }
     }
@@ -282,7 +282,7 @@
     return found && found->usedMemoryShare > scarceMemoryShare;
 }
 
-/*! @brief Frees results at their endpoints, and notifies the peers that account for the memory there. */
+/*! @brief Releases results at their endpoints, and notifies the peers that account for the memory there. */
 void ServingReducer::freeResults(const std::vector<StoredResult> &results)
 {
     std::map<std::string, std::vector<std::string>> byAddress;
@@ -311,7 +311,7 @@
     }
 }
 
-/*! @brief Cancels the tasks of a request and frees its results. */
+/*! @brief Cancels the tasks of a request and releases its results. */
 void ServingReducer::cancelStages(Request &request)
 {
     for (StageProgress &stage : request.stages) {
