--- a/src/bergamottide/membership/zoneorder.h
+++ b/src/bergamottide/membership/zoneorder.h
@@ -11,9 +11,9 @@
 /**
  * @brief Order of the processes of one availability zone, the same at each of them.
  *
- * Entries come before sides; within a role a hash of the name decides. The relative order of two processes depends on
- * these two only, not on the rest of the list. So even with stale views no two processes can each become the parent of
- * the other, and a tree built from the order has no cycle.
+ * Entries come before sidecars; within a role a hash of the name decides. The relative order of two processes depends
+ * on these two only, not on the rest of the list. So even with stale views no two processes can each become the parent
+ * of the other, and a tree built from the order has no cycle.
  */
 class ZoneOrder
 {
--- a/src/bergamottide/serving/endpointdirectory.cpp
+++ b/src/bergamottide/serving/endpointdirectory.cpp
@@ -16,7 +16,7 @@
  * The first read after the outage contains all of these removals. Later ones are real and take effect at once.
  */
 constexpr Duration graceAfterReturn = std::chrono::milliseconds{400};
-/*! @brief Tolerance for the end of the cold phase: it is relative to the entry, so propagation delays shift it. */
+/*! @brief Tolerance for the end of the warm-up: entries contain the remaining time, so propagation delays shift it. */
 constexpr Duration coldUntilTolerance = std::chrono::milliseconds{1000};
 /*! @brief Shortest outage that starts a grace period: in shorter ones no entry expires. */
 constexpr Duration minOutageWithGrace = std::chrono::milliseconds{1000};
--- a/src/bergamottide/serving/endpointdirectory.h
+++ b/src/bergamottide/serving/endpointdirectory.h
@@ -30,7 +30,7 @@
     /*! @brief Removes an endpoint, after the grace period if there is one. */
     void remove(const InstanceName &instance, TimePoint now);
 
-    /*! @brief Removes an endpoint at once: its entry exists, but is not a valid endpoint any more. */
+    /*! @brief Removes an endpoint without a grace period, because its entry is not a valid endpoint any more. */
     void removeAtOnce(const InstanceName &instance);
 
     /**
--- a/src/bergamottide/serving/heartbeat.h
+++ b/src/bergamottide/serving/heartbeat.h
@@ -44,7 +44,7 @@
     Duration wait{};
     /*! @brief Additional wait for each further piece that is queued ahead. */
     Duration timePerPiece{};
-    /*! @brief Typical number of pieces that one call processes together. */
+    /*! @brief Typical number of items that one call processes together. */
     double itemsPerCall{1.0};
     /*! @brief Used fraction of the endpoints' result memory, from 0 to 1. */
     double usedMemoryShare{};
--- a/src/bergamottide/serving/membershipview.cpp
+++ b/src/bergamottide/serving/membershipview.cpp
@@ -13,13 +13,13 @@
 constexpr std::size_t maxRelays = 16;
 /*! @brief Relays of one process: a primary and a standby. */
 constexpr std::size_t relaysPerProcess = 2;
-/*! @brief Smallest fleet in which processes read the platform for others. */
+/*! @brief Smallest fleet in which processes read the platform's store for others. */
 constexpr std::size_t minFleetWithReaders = 9;
-/*! @brief Lower bound of processes that read the platform; tolerates two simultaneous failures. */
+/*! @brief Minimum number of processes that read the platform's store; tolerates two simultaneous failures. */
 constexpr std::size_t minReaders = 3;
-/*! @brief Processes served by one that reads the platform. */
+/*! @brief Processes served by each reader of the platform's store. */
 constexpr std::size_t processesPerReader = 32;
-/*! @brief Minimum strength of a relay, relative to the strongest process: relays own the queues of the whole fleet. */
+/*! @brief Minimum capacity of a relay, relative to the largest one: relays own the queues of the whole fleet. */
 constexpr double minRelayStrength = 0.5;
 
 /*! @brief Returns the digest of a roster entry. The digest of a roster is their sum, so that an entry can be
@@ -251,7 +251,7 @@
 }
 
 /*
- * Few readers keep the number of calls to the platform bounded. They are spread over the zones, and a process prefers
+ * A few readers bound the number of calls to the platform. They are spread over the zones, and a process prefers
  * readers of its own zone, to limit cross-zone traffic.
  */
 void MembershipView::selectPlatformReaders()
--- a/src/bergamottide/serving/membershipview.h
+++ b/src/bergamottide/serving/membershipview.h
@@ -59,7 +59,7 @@
 };
 
 /**
- * @brief Immutable snapshot of the live peers and of the roles derived from them: relays, platform readers and owners.
+ * @brief Immutable snapshot of the live peers and of the roles derived from them: relays, readers and owners.
  *
  * It is valid until a peer changes state. Processes with the same members derive the same roles.
  */
@@ -101,9 +101,9 @@
     [[nodiscard]] const std::vector<InstanceName> &partners() const noexcept;
 
     /*!
-     * @brief Returns the addresses of the peers that read the platform for this process, in order of preference.
+     * @brief Returns the addresses of the peers that read the platform's store for this process, best first.
      *
-     * Empty if this process reads the platform itself.
+     * Empty if this process reads the store itself.
      */
     [[nodiscard]] const std::vector<std::string> &platformReaders() const noexcept;
 
--- a/src/bergamottide/serving/peers.cpp
+++ b/src/bergamottide/serving/peers.cpp
@@ -21,13 +21,13 @@
 constexpr Duration shareDelay = std::chrono::seconds{3};
 /*! @brief Time without a new peer after which initial discovery ends: one heartbeat and its response. */
 constexpr Duration quietTime = heartbeatPeriod + tickTolerance;
-/*! @brief Upper bound of initial discovery; requests that are held back longer would miss their deadline. */
+/*! @brief Upper bound of initial discovery; tasks that are deferred longer would miss their deadline. */
 constexpr Duration maxDiscoveryTime = std::chrono::seconds{1};
 /*! @brief Age up to which a relay forwards an engine report: two heartbeats. */
 constexpr Duration maxReportAge = std::chrono::milliseconds{450};
-/*! @brief Forwarded engine reports in one heartbeat, in a fleet of up to as many processes. */
+/*! @brief Maximum number of forwarded engine reports in a heartbeat; scaled down in fleets with more processes. */
 constexpr std::size_t maxReports = 32;
-/*! @brief Forwarded prompts in one heartbeat, in a fleet of up to maxReports processes. */
+/*! @brief Maximum number of forwarded prompts in a heartbeat; scaled down like maxReports. */
 constexpr std::size_t maxPrompts = 128;
 
 /*! @brief Returns a report with its remaining times reduced by its age. */
--- a/src/bergamottide/serving/peers.h
+++ b/src/bergamottide/serving/peers.h
@@ -19,10 +19,10 @@
 /**
  * @brief Gossip membership of the fleet: discovers live peers from a few seeds and selects the owner of each queue.
  *
- * Up to sixteen of the processes with the highest capacity are relays. They exchange heartbeats with each other, and
- * every other process exchanges heartbeats with two relays. The load of an ordinary process is therefore independent of
- * the size of the fleet, and that of a relay grows by one sixteenth of it. The relays are a function of the live peers:
- * processes with the same membership agree on them without coordination.
+ * Up to sixteen processes of high capacity are relays. They exchange heartbeats with each other, and every other
+ * process exchanges heartbeats with two relays. The load of an ordinary process is therefore independent of the size of
+ * the fleet, and that of a relay grows by one sixteenth of it. The relays are a function of the live peers: processes
+ * with the same membership agree on them without coordination.
  *
  * The queue of a stage pool has one owner among the relays, selected by rendezvous hashing. While memberships differ,
  * two owners may send work to the same endpoints, which costs time but not correctness.
@@ -93,11 +93,11 @@
     [[nodiscard]] std::optional<PeerInfo> queueOwner(const PoolName &pool, TimePoint now) const;
 
     /**
-     * @brief Returns the peers that read the platform's data on behalf of this process.
+     * @brief Returns the peers that read the platform's store on behalf of this process.
      *
      * In a larger fleet only a few relays read it, so that calls to the platform do not grow with the fleet.
      * @param now Current time.
-     * @return Addresses in order of preference; empty if this process reads the platform itself.
+     * @return Addresses in order of preference; empty if this process reads the store itself.
      */
     [[nodiscard]] std::vector<std::string> storeReaders(TimePoint now) const;
 
--- a/src/bergamottide/serving/servingpeers.cpp
+++ b/src/bergamottide/serving/servingpeers.cpp
@@ -38,7 +38,7 @@
 }
 
 /*
- * Tasks are held back during initial discovery. When a whole fleet starts, each process would otherwise act as the
+ * Tasks are deferred during initial discovery. When a whole fleet starts, each process would otherwise act as the
  * owner of every queue, and colliding calls would exhaust the retry budget.
  */
 void ServingReducer::submitDeferredTasks()
--- a/test/bergamottide/serving/fleetstart.cpp
+++ b/test/bergamottide/serving/fleetstart.cpp
@@ -72,7 +72,7 @@
     }
 
 private:
-    /*! @brief Returns the heartbeat of the only peer strong enough to own queues. */
+    /*! @brief Returns the heartbeat of the only peer with enough capacity to own queues. */
     [[nodiscard]] static Heartbeat owner()
     {
         Heartbeat out;
--- a/test/bergamottide/serving/largefleet.cpp
+++ b/test/bergamottide/serving/largefleet.cpp
@@ -184,7 +184,7 @@
             fleet.run(std::chrono::seconds{3});
             const std::set<std::string> readers = fleet.readers();
             CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(expected), readers.size());
-            // Exactly the selected readers read the platform themselves.
+            // Exactly the selected readers read the platform's store themselves.
             CPPUNIT_ASSERT(readers == fleet.addressesWithoutReaders());
         }
     }
--- a/test/bergamottide/serving/peerfleet.h
+++ b/test/bergamottide/serving/peerfleet.h
@@ -21,7 +21,7 @@
 {
 public:
     /**
-     * @brief Starts processes with three seeds, one of which does not exist; every fourth one has a higher strength.
+     * @brief Starts processes with three seeds, one of which does not exist; every fourth one has a higher capacity.
      * @param size Number of processes.
      * @param now Start time.
      */
@@ -101,7 +101,7 @@
         return minimum;
     }
 
-    /*! @brief Returns whether the preferred platform reader of a process, if any, is in its own zone. */
+    /*! @brief Returns whether the preferred reader of the store for a process, if any, is in its own zone. */
     [[nodiscard]] bool prefersReadersOfOwnZone(const std::string &address) const
     {
         const serving::Peers &process = m_processes.at(address);
@@ -157,7 +157,7 @@
         return sum;
     }
 
-    /*! @brief Returns the addresses of all processes that read the platform for another one. */
+    /*! @brief Returns the addresses of all processes that read the platform's store for another one. */
     [[nodiscard]] std::set<std::string> readers() const
     {
         std::set<std::string> out;
@@ -168,7 +168,7 @@
         return out;
     }
 
-    /*! @brief Returns the addresses of the processes that read the platform themselves. */
+    /*! @brief Returns the addresses of the processes that read the platform's store themselves. */
     [[nodiscard]] std::set<std::string> addressesWithoutReaders() const
     {
         std::set<std::string> out;
--- a/test/bergamottide/serving/peers.cpp
+++ b/test/bergamottide/serving/peers.cpp
@@ -13,7 +13,7 @@
 using bergamottide::test::ServingFixture;
 using Fleet = bergamottide::test::PeerFleet;
 
-/*! @brief Membership, queue ownership and handed over tasks; also EndpointDirectory and EventSplitter. */
+/*! @brief Membership, queue ownership and delegated tasks; also EndpointDirectory and EventSplitter. */
 class ServingPeersTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServingPeersTest);
