--- a/src/bergamottide/admission/admissioncontrol.h
+++ b/src/bergamottide/admission/admissioncontrol.h
@@ -60,7 +60,7 @@
      * @brief Decides whether a request is admitted.
      * @param query Request.
      * @param policy Current limits.
-     * @param entryCount Number of entries; each is assumed to admit the same load.
+     * @param entryCount Number of entry processes; each is assumed to admit the same load.
      * @param now Current time.
      */
     [[nodiscard]] AdmissionDecision decide(const AdmissionQuery &query, const Policy &policy, std::size_t entryCount,
--- a/src/bergamottide/engines/enginereport.h
+++ b/src/bergamottide/engines/enginereport.h
@@ -30,7 +30,7 @@
 {
     /*! @brief Process that created the report; others may forward it. */
     InstanceName origin;
-    /*! @brief Identifies one run of the process; `sequence` starts again with the next. */
+    /*! @brief Changes with each restart of the process, which resets `sequence`. */
     std::uint64_t incarnation{};
     /*! @brief Increases with each report of the process; older reports are ignored. */
     std::uint64_t sequence{};
--- a/src/bergamottide/engines/enginetable.h
+++ b/src/bergamottide/engines/enginetable.h
@@ -21,7 +21,7 @@
 {
     InstanceName engine;
     PoolName pool;
-    /*! @brief Identifies one run of the engine; its cache is lost with the next. */
+    /*! @brief Changes with each restart of the engine, which empties its cache. */
     std::uint64_t incarnation{};
     /*! @brief Capacity of the prefix cache in tokens; zero if unknown. */
     std::uint64_t capacity{};
@@ -87,7 +87,7 @@
     /**
      * @brief Creates the next report of this process for its peers.
      * @param self This process.
-     * @param incarnation Identifies this run of the process.
+     * @param incarnation Changes with each restart of this process.
      * @param now Current time.
      */
     [[nodiscard]] EngineReport nextReport(const InstanceName &self, std::uint64_t incarnation, TimePoint now);
@@ -106,7 +106,7 @@
         TimePoint at{};
     };
 
-    /*! @brief Placement to be included in reports. */
+    /*! @brief Placement that is included in the next reports. */
     struct RecentPlacement
     {
         InstanceName engine;
--- a/src/bergamottide/placement/affinitymap.h
+++ b/src/bergamottide/placement/affinitymap.h
@@ -13,7 +13,7 @@
  * Keys are hashed to a fixed number of buckets; each bucket is assigned to the member with
  * the highest score for it. Adding a member visits each bucket once, removing one only
  * recomputes the buckets assigned to it. The assignment depends on the set of members and
- * not on the order of changes, so that entries with the same set agree.
+ * not on the order of changes, so that entry processes with the same set agree.
  */
 class AffinityMap
 {
--- a/src/bergamottide/placement/endpoint.h
+++ b/src/bergamottide/placement/endpoint.h
@@ -32,7 +32,7 @@
 
 inline constexpr std::size_t tierCount = EnumNames<Tier>::names.size();
 
-/*! @brief Circuit breaker state of an endpoint; see `Ejector`. */
+/*! @brief Circuit breaker state of an endpoint; see `OutlierEjector`. */
 enum class EjectionState : std::uint8_t
 {
     InService,
--- a/src/bergamottide/placement/endpointtable.h
+++ b/src/bergamottide/placement/endpointtable.h
@@ -25,7 +25,7 @@
 };
 
 /**
- * @brief State and load of all endpoints that an entry knows.
+ * @brief State and load of all endpoints that this entry process knows.
  *
  * The groups and their sums are updated incrementally with each event, so that a placement
  * doesn't have to iterate over all endpoints. The number of an endpoint doesn't change
--- a/src/bergamottide/placement/loadestimate.h
+++ b/src/bergamottide/placement/loadestimate.h
@@ -9,7 +9,7 @@
  * @brief Estimates how long a new run of a workspace would wait in the queue of an endpoint.
  *
  * Adds the cost of the runs that this entry has sent since the report to the reported
- * wait, so that it doesn't herd to an endpoint that was idle when the report was sent. The
+ * wait, so that it doesn't overload an endpoint that was idle when the report was sent. The
  * weight of a stale report decays in favour of an estimate from this entry's outstanding
  * runs, so that an endpoint isn't avoided forever because of its last report.
  *
--- a/src/bergamottide/placement/placement.h
+++ b/src/bergamottide/placement/placement.h
@@ -40,9 +40,9 @@
 /**
  * @brief Chooses an endpoint for each run by the power of two choices.
  *
- * Compares the estimated waits at a few random candidates (`placementChoices`). Choosing
- * among all endpoints instead would make independent entries herd to the one that looks
- * idle in stale reports. The endpoint that the prompt's prefix is mapped to is preferred
+ * Compares the estimated waits at a few random candidates (`placementChoices`). If entry
+ * processes compared all endpoints instead, they would overload the one that looks idle in
+ * their stale reports. The endpoint that the prompt's prefix is mapped to is preferred
  * while its load is bounded (`affinityBound`), so that a hot prefix doesn't overload it.
  * Farther tiers get fewer candidates and a penalty for their distance, so that runs spill
  * over to them only if the nearer ones are worse by more than that. The cost is
--- a/src/bergamottide/scheduling/fairqueue.h
+++ b/src/bergamottide/scheduling/fairqueue.h
@@ -122,9 +122,7 @@
     [[nodiscard]] std::size_t size() const noexcept;
     /*! @brief Returns the estimated cost of all queued runs. */
     [[nodiscard]] Duration backlog() const noexcept;
-    /**
-     * @brief Estimates the time until the queued runs of a workspace have been served; zero if it has none.
-     */
+    /*! @brief Estimates the time until the queued runs of a workspace have been served; zero if it has none. */
     [[nodiscard]] Duration wait(const WorkspaceName &workspace) const;
     /*! @brief Returns the workspaces that have queued runs, with the estimated wait of each. */
     [[nodiscard]] std::vector<std::pair<WorkspaceName, Duration>> waits() const;
--- a/src/bergamottide/scheduling/servicetimes.cpp
+++ b/src/bergamottide/scheduling/servicetimes.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/*! @brief Minimum samples for an estimate; with fewer the entry's estimate, from many endpoints, is better. */
+/*! @brief Minimum samples for an estimate; with fewer the entry's own estimate is better, since it covers many
+ * endpoints. */
 constexpr std::uint64_t minTrustedSamples = 8;
 /*! @brief Bounds the memory; further classes are only counted in the estimates for all kinds. */
 constexpr std::size_t maxClasses = 4096;
--- a/test/support/engineload.h
+++ b/test/support/engineload.h
@@ -140,8 +140,8 @@
 };
 
 /**
- * @brief Baseline placement by number of requests: the first engine in rendezvous order of the shared part that doesn't
- * exceed a bound relative to the mean number of requests.
+ * @brief Baseline placement by number of requests: chooses the first engine in the rendezvous order of the shared part
+ * whose requests don't exceed a bound relative to the mean.
  */
 [[nodiscard]] std::optional<engines::EngineChoice>
 pickByRequestCount(engines::EngineTable &table, const std::vector<engines::EngineCandidate> &candidates,
