--- a/src/bergamottide/endpoint/endpointadapter.h
+++ b/src/bergamottide/endpoint/endpointadapter.h
@@ -19,7 +19,7 @@
     std::function<void(EndpointRunEnded)> finished;
     /*! @brief Called for each load report. */
     std::function<void(EndpointLoadReport)> loadReported;
-    /*! @brief Called for each answer to an order; an order without an answer counts as refused. */
+    /*! @brief Called once for each order; an order without a response counts as refused. */
     std::function<void(OrderAnswered)> orderAnswered;
 };
 
@@ -63,7 +63,7 @@
      */
     virtual void sendOrder(const SendOrder &order) = 0;
 
-    /*! @brief Requests a load report, which `reported` receives if the endpoint supports it. */
+    /*! @brief Requests a load report; `loadReported` is called if the endpoint supports it. */
     virtual void requestLoad() = 0;
 };
 
--- a/src/bergamottide/sidecar/peerfreshness.h
+++ b/src/bergamottide/sidecar/peerfreshness.h
@@ -53,8 +53,8 @@
     }
 
     /**
-     * @brief Handles the answer to a ping.
-     * @param peer Sender of the answer.
+     * @brief Handles a pong.
+     * @param peer Sender of the pong.
      * @param sequence Sequence of the ping, which is the epoch in which it was sent.
      * @return True if this is the first confirmation after a pause.
      */
--- a/src/bergamottide/sidecar/runmessagehandler.h
+++ b/src/bergamottide/sidecar/runmessagehandler.h
@@ -26,13 +26,13 @@
     RunMessageHandler(SidecarContext &context, RunTable &runs, ResultDelivery &delivery, RunScheduler &scheduler,
                       AtMostOnceHandler &atMostOnce);
 
-    /*! @brief Starts a run, or subscribes the sender to a run that is known already. */
+    /*! @brief Starts a run, or subscribes the sender to an existing run. */
     void onStart(const InstanceName &from, const StartRun &message);
     /*! @brief Cancels a run. */
     void onCancel(const InstanceName &from, const CancelRun &message);
-    /*! @brief Answers with the states of runs and subscribes the sender to those that are known. */
+    /*! @brief Answers with the states of runs and subscribes the sender to the existing ones. */
     void onQuery(const InstanceName &from, const QueryRuns &message);
-    /*! @brief Handles the runs that are due, and expires ledger records and fences. */
+    /*! @brief Handles the runs that are due, and removes expired records from the ledger and the fence. */
     void onTick();
 
 private:
--- a/src/bergamottide/sidecar/runscheduler.h
+++ b/src/bergamottide/sidecar/runscheduler.h
@@ -64,7 +64,7 @@
 
     /*! @brief Appends a piece to the result of a run; cancels the run if its result becomes too large. */
     void onPiece(const EndpointResultPiece &event);
-    /*! @brief Ends a run whose call to the endpoint has ended. */
+    /*! @brief Ends a run according to its outcome at the endpoint. */
     void onFinished(const EndpointRunEnded &event);
 
     /*! @brief Returns the earliest time at which a queued run can no longer meet its deadline, if any. */
--- a/src/bergamottide/sidecar/sidecarevents.h
+++ b/src/bergamottide/sidecar/sidecarevents.h
@@ -17,7 +17,7 @@
     std::uint32_t tokens{};
 };
 
-/*! @brief How a call to the endpoint ended. */
+/*! @brief How a run at the endpoint has ended. */
 enum class EndpointResult : std::uint8_t
 {
     Completed,
@@ -33,7 +33,7 @@
     static constexpr std::array<std::string_view, 3> names{"completed", "refused", "failed"};
 };
 
-/*! @brief Event: a call to the endpoint has ended. */
+/*! @brief Event: a run at the endpoint has ended. */
 struct EndpointRunEnded
 {
     RunId run;
@@ -41,7 +41,7 @@
     Reason reason{};
 };
 
-/*! @brief Event: the endpoint has reported its load; the figures lag behind. */
+/*! @brief Event: the endpoint has reported its load, which may be out of date. */
 struct EndpointLoadReport
 {
     std::uint32_t running{};
