--- a/src/bergamottide/app/callerport.cpp
+++ b/src/bergamottide/app/callerport.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 /*!
- * @brief Unsent bytes buffered for a slow caller; above this its connection is closed.
+ * @brief Unsent bytes buffered for a slow caller; above this its stream is ended and the call is dropped.
  *
- * Bounds the memory that one connection can hold. A caller with a ticket can still fetch the result.
+ * Bounds the memory held by one connection. A caller with a ticket can still fetch the result.
  */
 constexpr std::size_t maxUnsentBytes = 4u << 20;
 
--- a/src/bergamottide/app/callerport.h
+++ b/src/bergamottide/app/callerport.h
@@ -63,7 +63,7 @@
      */
     void carryOut(const SendAnswer &effect);
 
-    /*! @brief Returns the number of calls without a final answer. */
+    /*! @brief Returns the number of calls whose response is not complete. */
     [[nodiscard]] std::size_t waitingCalls() const noexcept;
 
 private:
--- a/src/bergamottide/app/entryapp.cpp
+++ b/src/bergamottide/app/entryapp.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/*! @brief Time between the last answer and the exit, so that the kernel can send what is buffered. */
+/*! @brief Time between the last response and the exit, so that the kernel can send what is buffered. */
 constexpr Duration flushDelay = std::chrono::milliseconds{300};
 /*! @brief Upper bound of the body size; equals the largest limit that a configuration document may set. */
 constexpr std::size_t maxBodyBytes = 64u << 20;
--- a/src/bergamottide/app/servingapp.cpp
+++ b/src/bergamottide/app/servingapp.cpp
@@ -20,7 +20,7 @@
 /*! @brief Bytes of the colon, space and line end of a header line. */
 constexpr std::size_t headerLineOverhead = 4;
 constexpr int statusHeadTooLarge = 431;
-/*! @brief Longest idle time of a caller's connection; longer than the limit documented for callers. */
+/*! @brief Longest idle time of a caller's connection; exceeds the limit documented for callers. */
 constexpr Duration callersIdleTimeout = std::chrono::seconds{60};
 /*! @brief Longest delay until a disconnected caller is detected; bounds the work wasted at an endpoint. */
 constexpr Duration closePollPeriod = std::chrono::milliseconds{150};
@@ -36,7 +36,7 @@
 constexpr Duration balancerRemovalTime = std::chrono::milliseconds{3500};
 /*! @brief Time before the end of the grace period at which the process exits even if requests are unfinished. */
 constexpr Duration exitMargin = std::chrono::milliseconds{500};
-/*! @brief Time between the last answer and the exit, so that the kernel can send what is buffered. */
+/*! @brief Time between the last response and the exit, so that the kernel can send what is buffered. */
 constexpr Duration flushDelay = std::chrono::milliseconds{300};
 
 HttpServerOptions callersOptions(const ServingSettings &settings)
--- a/src/bergamottide/app/servingapp.h
+++ b/src/bergamottide/app/servingapp.h
@@ -43,7 +43,7 @@
 /**
  * @brief Process that serves callers and calls endpoints directly; connects a `ServingReducer` with its sockets.
  *
- * The configuration and the endpoints are passed in through `setCatalog` and `directory`.
+ * The configuration and the endpoints are passed in through `setCatalog` and `endpointDirectory`.
  */
 class ServingApp
 {
@@ -53,7 +53,7 @@
      * @param loop Event loop; outlives the app.
      * @param clock Source of time; outlives the app.
      * @param settings Settings.
-     * @param codec Format of requests and answers.
+     * @param codec Formats of requests and responses.
      * @param incarnation Number that identifies this start of the process.
      */
     ServingApp(Loop &loop, const Clock &clock, const serving::ServingSettings &settings, ServingCodec codec,
@@ -83,10 +83,10 @@
      */
     void setCatalog(std::shared_ptr<const serving::Catalog> catalog);
 
-    /*! @brief Returns the directory of endpoints; call `endpointsChanged` after changing it. */
+    /*! @brief Returns the endpoint directory; call `applyEndpointChanges` after changing it. */
     [[nodiscard]] serving::EndpointDirectory &endpointDirectory() noexcept;
 
-    /*! @brief Applies changes of the directory. */
+    /*! @brief Passes changes of the endpoint directory to the reducer. */
     void applyEndpointChanges();
 
     /*! @brief Writes a line to the log. */
@@ -114,7 +114,7 @@
                               std::function<void(const std::string &body)> onBody);
 
 private:
-    /*! @brief A caller without a final answer. */
+    /*! @brief A caller whose response is not complete. */
     struct Caller
     {
         std::shared_ptr<HttpResponder> responder;
--- a/src/bergamottide/app/sidecarapp.h
+++ b/src/bergamottide/app/sidecarapp.h
@@ -22,7 +22,7 @@
 /**
  * @brief Sidecar process of one endpoint, which schedules its runs (role `side`).
  *
- * Connects a `SideReducer` with the endpoint's adapter, the streams from the entries, the platform's clients and the
+ * Connects a `SidecarReducer` with the endpoint's adapter, the streams from the entries, the platform's clients and the
  * admin port. The adapter is created when a configuration document sets the kind of the pool, and again when the kind
  * changes.
  */
--- a/src/bergamottide/ctl/command.cpp
+++ b/src/bergamottide/ctl/command.cpp
@@ -51,7 +51,7 @@
         {"load", "ENTRY PIPELINE BODY",
          "Submits requests at a constant rate, regardless of earlier answers, and prints a summary.",
          "Needs --key_file with the key of a workspace; --rate, --time, --kind and --deadline are optional.\n"
-         "--admins with --admin_key_file adds the cost by stage, read from the metrics of sides.\n"
+         "--admins with --admin_key_file adds the cost by stage, read from the metrics of sidecars.\n"
          "Exit code 1 if a request did not complete on time.",
          3, 3, runLoad},
     };
@@ -68,7 +68,7 @@
     out += "\nOptions:\n"
            "  --output=text|json   output format\n"
            "  --key_file=FILE      file with the bearer key of the admin port or of a workspace\n"
-           "  --admins=A,B         admin ports of sides, for the cost by stage of load\n"
+           "  --admins=A,B         admin ports of sidecars, for the cost by stage of load\n"
            "  --admin_key_file=F   file with their key\n"
            "  --kind=NAME          kind of the requests\n"
            "  --deadline=9s        deadline of each request\n"
--- a/src/tools/bergamottidectl.cpp
+++ b/src/tools/bergamottidectl.cpp
@@ -12,7 +12,7 @@
 
 DEFINE_string(output, "text", "output format: text or json");
 DEFINE_string(key_file, "", "file with the bearer key of the admin port or of a workspace");
-DEFINE_string(admins, "", "admin ports of sides, separated by commas, for the cost by stage of load");
+DEFINE_string(admins, "", "admin ports of sidecars, separated by commas, for the cost by stage of load");
 DEFINE_string(admin_key_file, "", "file with the key of these admin ports");
 DEFINE_string(kind, "", "kind of the requests");
 DEFINE_string(deadline, "", "deadline of each request, with its unit");
