--- a/src/bergamottide/app/servingapp.cpp
+++ b/src/bergamottide/app/servingapp.cpp
@@ -229,7 +229,7 @@
 
 std::vector<std::string> ServingApp::storeReaders() const
 {
-    return m_reducer.platformReaders(m_loop.now());
+    return m_reducer.storeReaders(m_loop.now());
 }
 
 void ServingApp::setStoreHandlers(StoreHandlers handlers)
--- a/src/bergamottide/serving/endpointdirectory.cpp
+++ b/src/bergamottide/serving/endpointdirectory.cpp
@@ -48,16 +48,17 @@
     EndpointRecord &known = found->second;
     const bool isNewIncarnation = isNew || known.incarnation != record.incarnation;
     const bool draining = record.draining || (!isNewIncarnation && known.draining);
-    const TimePoint coldUntil = record.remainingWarmup > Duration::zero() ? now + record.remainingWarmup : TimePoint{};
-    const bool isColder = coldUntil > known.coldUntil + coldUntilTolerance;
+    const TimePoint warmupEndsAt =
+        record.remainingWarmup > Duration::zero() ? now + record.remainingWarmup : TimePoint{};
+    const bool isColder = warmupEndsAt > known.warmupEndsAt + coldUntilTolerance;
     if (isNewIncarnation || known.draining != draining || known.address != record.address || known.pool != record.pool
         || known.slots != record.slots || isColder) {
         m_changed = true;
     }
-    const TimePoint knownColdUntil = known.coldUntil;
+    const TimePoint knownColdUntil = known.warmupEndsAt;
     known = record;
     known.draining = draining;
-    known.coldUntil = isNewIncarnation || isColder ? coldUntil : knownColdUntil;
+    known.warmupEndsAt = isNewIncarnation || isColder ? warmupEndsAt : knownColdUntil;
 }
 
 void EndpointDirectory::remove(const InstanceName &instance, TimePoint now)
--- a/src/bergamottide/serving/endpointregistry.cpp
+++ b/src/bergamottide/serving/endpointregistry.cpp
@@ -82,12 +82,12 @@
         endpoint.possibleRestartAt = now;
         log(effects, "Endpoint accepts new work again.", endpoint, "zone restored");
     }
-    if (record.coldUntil > endpoint.warmupEndsAt) {
+    if (record.warmupEndsAt > endpoint.warmupEndsAt) {
         if (endpoint.warmupEndsAt <= now) {
             log(effects, "Endpoint is cold.", endpoint,
-                absl::StrCat("warm in ", (record.coldUntil - now).count() / 1000, " ms"));
+                absl::StrCat("warm in ", (record.warmupEndsAt - now).count() / 1000, " ms"));
         }
-        endpoint.warmupEndsAt = record.coldUntil;
+        endpoint.warmupEndsAt = record.warmupEndsAt;
     }
 }
 
--- a/src/bergamottide/serving/events.h
+++ b/src/bergamottide/serving/events.h
@@ -85,7 +85,7 @@
     /*! @brief Remaining warm-up time when the entry was written; zero if warm. */
     Duration remainingWarmup{};
     /*! @brief End of the warm-up by the local clock; set by `EndpointDirectory`. */
-    TimePoint coldUntil{};
+    TimePoint warmupEndsAt{};
     /*! @brief Its availability zone is evacuated, so it accepts no new work; set by `EndpointDirectory`. */
     bool isEvacuated{};
 
--- a/src/bergamottide/serving/membershipview.cpp
+++ b/src/bergamottide/serving/membershipview.cpp
@@ -101,7 +101,7 @@
     return m_partners;
 }
 
-const std::vector<std::string> &MembershipView::platformReaders() const noexcept
+const std::vector<std::string> &MembershipView::storeReaders() const noexcept
 {
     return m_platformReaders;
 }
--- a/src/bergamottide/serving/membershipview.h
+++ b/src/bergamottide/serving/membershipview.h
@@ -105,7 +105,7 @@
      *
      * Empty if this process reads the store itself.
      */
-    [[nodiscard]] const std::vector<std::string> &platformReaders() const noexcept;
+    [[nodiscard]] const std::vector<std::string> &storeReaders() const noexcept;
 
     /*! @brief Returns whether a peer that is not a relay has its primary relay in another zone than this process. */
     [[nodiscard]] bool isServedByOtherRelay(const PeerInfo &peer) const;
--- a/src/bergamottide/serving/peers.cpp
+++ b/src/bergamottide/serving/peers.cpp
@@ -357,7 +357,7 @@
 
 std::vector<std::string> Peers::storeReaders(TimePoint now) const
 {
-    return view(now).platformReaders();
+    return view(now).storeReaders();
 }
 
 /*
--- a/src/bergamottide/serving/servingpeers.cpp
+++ b/src/bergamottide/serving/servingpeers.cpp
@@ -296,7 +296,7 @@
     return m_peers.live(now);
 }
 
-std::vector<std::string> ServingReducer::platformReaders(TimePoint now) const
+std::vector<std::string> ServingReducer::storeReaders(TimePoint now) const
 {
     return m_peers.storeReaders(now);
 }
--- a/src/bergamottide/serving/servingreducer.h
+++ b/src/bergamottide/serving/servingreducer.h
@@ -73,7 +73,7 @@
 
     /*! @brief Returns the addresses of the peers that read the platform's store for this process; none if it reads the
      * store itself. */
-    [[nodiscard]] std::vector<std::string> platformReaders(TimePoint now) const;
+    [[nodiscard]] std::vector<std::string> storeReaders(TimePoint now) const;
 
     /**
      * @brief Builds the heartbeat for a peer.
