--- a/src/bergamottide/engines/fwd.h
+++ b/src/bergamottide/engines/fwd.h
@@ -9,14 +9,14 @@
 struct PromptPart;
 struct ChainLink;
 struct PlacedPrompt;
-struct EngineWork;
+struct PendingPrefill;
 struct EngineReport;
 struct EngineListing;
 struct EngineState;
 struct SentGeneration;
 struct EngineCandidate;
 struct EngineChoice;
-struct GenerationNeeds;
+struct GenerationQuery;
 
 class PrefixCacheModel;
 class PrefillBacklog;
