--- a/src/bergamottide/serving/callplanner.cpp
+++ b/src/bergamottide/serving/callplanner.cpp
@@ -11,7 +11,7 @@
 
 /*! @brief Minimum share of the items wanted for a call, unless no result memory is in use at its endpoint. */
 constexpr double minFillRatio = 0.6;
-/*! @brief Share of the result memory that may be in use when results of late requests are added; they stay longest. */
+/*! @brief Memory usage up to which results of late requests are added, as these are stored longest. */
 constexpr double lateMemoryShare = 0.75;
 
 } // namespace
--- a/src/bergamottide/serving/endpointregistry.h
+++ b/src/bergamottide/serving/endpointregistry.h
@@ -36,7 +36,7 @@
     /*! @brief Load that it reported last, and when. */
     EndpointLoad load;
     TimePoint loadUpdatedAt{};
-    /*! @brief Time of its latest answer to any run or call. */
+    /*! @brief Time of its latest response to any run or call. */
     TimePoint lastResponseAt{};
     /*! @brief Share of failed work, as a moving average from 0 to 1. */
     double failureRate{};
@@ -49,11 +49,11 @@
     /*! @brief Ratio of measured to expected duration of stage calls, as a moving average. */
     double slowness{1.0};
     TimePoint slownessUpdatedAt{};
-    /*! @brief When it last reported no work of other processes; the epoch if the latest report shows some. */
+    /*! @brief When it last reported that only this process uses it; the epoch if it has reported other work since. */
     TimePoint exclusiveAt{};
     /*! @brief Stage calls are not sent before this time. */
     TimePoint pausedUntil{};
-    /*! @brief When it is warm, as reported by the platform or the endpoint. */
+    /*! @brief When its warm-up ends, as reported by the platform or the endpoint. */
     TimePoint warmupEndsAt{};
     /*! @brief Latest time of a possible restart: its zone was restored, or it could not be reached; the epoch if there
      * is none. */
@@ -124,11 +124,11 @@
     void recordEnd(const InstanceName &instance, std::optional<EndpointOutcome> outcome, TimePoint now,
                    Effects &effects);
 
-    /*! @brief Records that an endpoint has begun to answer. */
+    /*! @brief Records that an endpoint has begun to respond. */
     void recordAnswer(const InstanceName &instance, TimePoint now);
 
     /**
-     * @brief Counts a timeout as a failure; an endpoint without any answer since the start may be ejected at once.
+     * @brief Records a timeout as a failure; an endpoint that has not responded at all since may be ejected at once.
      * @param instance Endpoint.
      * @param since When the work that timed out was sent.
      * @param now Current time.
@@ -136,7 +136,7 @@
      */
     void recordTimeout(const InstanceName &instance, TimePoint since, TimePoint now, Effects &effects);
 
-    /*! @brief Records how much longer an endpoint will be cold, as it reported. */
+    /*! @brief Records the remaining warm-up time that an endpoint reported. */
     void recordWarmup(const InstanceName &instance, Duration remaining, TimePoint now);
 
     /*! @brief Records the load that an endpoint reported. */
--- a/src/bergamottide/serving/resultmemory.h
+++ b/src/bergamottide/serving/resultmemory.h
@@ -27,8 +27,8 @@
  * @brief Tracks the memory that results occupy at the endpoints of stage pools.
  *
  * Memory is reserved when a call is sent, and freed when the result is released or expires. If the answer to a call is
- * lost, its results may still exist, so their memory counts until they would have expired. Results requested by another
- * scheduler, before the queue moved here, are reported by the processes that use them along with their tasks.
+ * lost, its results may still exist, so their memory counts until they would have expired. If another scheduler owned
+ * the queue before, processes report the results that it requested along with their tasks.
  */
 class ResultMemory
 {
@@ -56,7 +56,7 @@
     /*! @brief Removes a released result and frees its memory; unknown handles are ignored. */
     void remove(const std::string &handle);
 
-    /*! @brief Removes expired results, and reports of processes that have not been renewed. */
+    /*! @brief Removes expired results, and the reports that were not renewed in time. */
     void removeExpired(TimePoint now);
 
     /**
--- a/src/bergamottide/serving/stagescheduler.cpp
+++ b/src/bergamottide/serving/stagescheduler.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/*! @brief Average failures of each piece of a task, excluding rejections, after which the task fails. */
+/*! @brief A task fails after more failed attempts, excluding rejections, than this number times its pieces. */
 constexpr std::uint32_t maxFailuresPerPiece = 3;
 /*! @brief A call times out after this multiple of its expected duration, plus an allowance for the network. */
 constexpr int callTimeoutFactor = 3;
@@ -25,18 +25,18 @@
  * links are shared with other tasks. */
 constexpr int fetchTimeFactor = 6;
 constexpr Duration fetchAllowance = std::chrono::milliseconds{60};
-/*! @brief Time for which a report of no work of other processes is trusted. An endpoint that is busy with the call of
- * another scheduler fetches inputs later than estimated. */
+/*! @brief Time for which a report that only this process uses an endpoint is trusted. An endpoint that is busy with the
+ * call of another scheduler fetches inputs later than estimated. */
 constexpr Duration exclusivityTtl = std::chrono::seconds{2};
-/*! @brief Upper bound of the share of a pool that arriving work of lower ranks takes up in a forecast. */
+/*! @brief Maximum share of a pool that a forecast assigns to more urgent work that arrives during the wait. */
 constexpr double maxUrgentShare = 0.8;
 /*! @brief Maximum wait for an endpoint of the preferred zone; about the duration of a call. */
 constexpr Duration maxZoneWait = std::chrono::milliseconds{200};
 /*! @brief A task stops waiting for its preferred zone this long before its latest start. */
 constexpr Duration zoneWaitMargin = std::chrono::milliseconds{200};
-/*! @brief Pause in calls to an endpoint that had no memory for a result, so that other results can be released. */
+/*! @brief Pause in calls to an endpoint without enough memory for a result, so that other results can be released. */
 constexpr Duration memoryFullPause = std::chrono::milliseconds{250};
-/*! @brief Maximum time between scans of an unchanged queue; ejected endpoints return, and tasks become late. */
+/*! @brief Maximum time between scans of an unchanged queue: ejections end, and tasks become late. */
 constexpr Duration scanPeriod = std::chrono::milliseconds{10};
 /*! @brief Pause in calls to an endpoint that rejected one: it is busy with another process or draining. */
 constexpr Duration rejectionPause = std::chrono::milliseconds{60};
--- a/src/bergamottide/serving/stagescheduler.h
+++ b/src/bergamottide/serving/stagescheduler.h
@@ -59,7 +59,7 @@
     void submit(StageTask task, TimePoint now);
 
     /**
-     * @brief Removes a task; results of its calls in progress are freed when they arrive.
+     * @brief Removes a task; results of its calls in progress are released when they arrive.
      * @param task Task to remove; unknown ones are ignored.
      */
     void cancel(StageTaskId task);
@@ -86,12 +86,13 @@
      * @brief Handles the end of a call: stores its results, or queues its pieces for a retry.
      * @param event Outcome of the call.
      * @param now Current time.
-     * @param effects Receives log lines and results to free.
+     * @param effects Receives log lines and results to release.
      */
     void handleCallEnded(const StageCallEnded &event, TimePoint now, Effects &effects);
 
     /**
-     * @brief Cancels calls that have timed out and retries their pieces; drops expired results and fetched inputs.
+     * @brief Cancels calls that have timed out and retries their pieces; removes expired results, and releases fetched
+     * inputs where memory is scarce.
      * @param now Current time.
      * @param effects Receives cancellations and log lines.
      */
@@ -106,7 +107,7 @@
      */
     void handleReleased(const std::string &handle);
 
-    /*! @brief Returns and clears the inputs that no task needs any more; the caller frees them at their endpoints. */
+    /*! @brief Returns and clears the inputs that no task needs any more; the caller releases them. */
     [[nodiscard]] std::vector<StoredResult> takeReleasableInputs();
 
     /*! @brief Returns the expected waits of rank 0 and of each queued rank, for every pool that has had tasks. */
@@ -126,7 +127,7 @@
     /*! @brief Returns the pools with a non-empty queue. */
     [[nodiscard]] std::vector<PoolName> queuedPools() const;
 
-    /*! @brief Returns when `expire` or `dispatch` has to be called next; nothing if neither is pending. */
+    /*! @brief Returns when `handleTimeouts` or `dispatch` has to be called next; nothing if neither is pending. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
 
     /*! @brief Returns the number of queue scans so far; the cost of a scan is linear in the length of the queue. */
@@ -151,7 +152,7 @@
     {
         bool isRequested{true};
         TimePoint at{};
-        /*! @brief When the first task that waits for an endpoint of its zone may go to any zone. */
+        /*! @brief When the first task that waits for its preferred zone may go to any zone. */
         std::optional<TimePoint> zoneWaitEnds;
     };
 
--- a/src/bergamottide/serving/stagetask.h
+++ b/src/bergamottide/serving/stagetask.h
@@ -12,7 +12,7 @@
 
 namespace bergamottide::serving {
 
-/*! @brief Memory taken by results that are stored at an endpoint and not used yet. */
+/*! @brief Memory in use at an endpoint for results that wait for their use. */
 struct ResultMemoryUsage
 {
     InstanceName endpoint;
@@ -75,7 +75,7 @@
     Late,
     /*! @brief One of its inputs is missing or could not be fetched. */
     InputMissing,
-    /*! @brief The endpoint has no memory for the result. */
+    /*! @brief The endpoint has not enough memory for the result. */
     InsufficientMemory,
     Error
 };
