--- a/src/bergamottide/entry/recovery.h
+++ b/src/bergamottide/entry/recovery.h
@@ -34,7 +34,7 @@
     void handlePeerUp(const InstanceName &peer);
     void handlePeerDown(const InstanceName &peer);
 
-    /*! @brief Handles that this process was suspended: no run is started until a sidecar has answered a ping. */
+    /*! @brief Handles a suspension of this process: no run is started until a sidecar has answered a ping. */
     void handleWakeup();
     /*! @brief Handles the reply to a ping. */
     void handlePong(const InstanceName &from, const Pong &message);
--- a/src/bergamottide/ledger/keyownership.h
+++ b/src/bergamottide/ledger/keyownership.h
@@ -35,8 +35,8 @@
  *
  * A sidecar that has just started, or that gains keys when the instance list changes, does
  * not know what the former home has run. It refuses these keys for one window, the time
- * for which a key is remembered. A key that is resubmitted within the window runs at most
- * once, provided that the views of all processes agree within the window.
+ * for which a home remembers a key. A key that is resubmitted within the window runs at
+ * most once, provided that the views of all processes agree within the window.
  */
 class KeyOwnership
 {
--- a/src/bergamottide/orders/orderplanner.cpp
+++ b/src/bergamottide/orders/orderplanner.cpp
@@ -23,11 +23,11 @@
 constexpr Duration answerTimeout = std::chrono::seconds{120};
 /*! @brief Backoff after a refused order; doubles with each consecutive refusal. */
 constexpr Duration refusalBackoff = std::chrono::seconds{5};
-/*! @brief Limits the backoff to about five minutes, so that orders resume soon after a repair of the engine. */
+/*! @brief Limits the backoff to about five minutes, so that orders resume soon after the engine recovers. */
 constexpr unsigned maxBackoffDoublings = 6;
 /*! @brief Time before an unassigned model is unloaded, so that a flapping instance list causes no reloads. */
 constexpr Duration unloadDelay = std::chrono::seconds{60};
-/*! @brief Bits of a fencing number that count the orders of one document version. */
+/*! @brief Low bits of a fencing token, which count the orders of one document version. */
 constexpr unsigned fenceBits = 20;
 
 } // namespace
--- a/src/bergamottide/orders/orderplanner.h
+++ b/src/bergamottide/orders/orderplanner.h
@@ -17,12 +17,12 @@
  * @brief Issues the orders that make an engine load its assigned models.
  *
  * It compares the assigned models with the engine's reports and issues one order at a
- * time. Each order is based on a report that is newer than the answer to the previous one
- * by the lag of the engine's reports. If the answer times out, the order is not repeated;
- * the next report shows whether it took effect.
+ * time. After the answer to an order, reports may be outdated for some seconds, so
+ * the next order waits for a later report. If the answer times out, the order is not
+ * repeated; a later report shows whether it took effect.
  *
- * Fencing numbers increase with the document version and with every order, and exceed the
- * number that the engine reports, so that an engine can refuse the orders of a replaced
+ * Fencing tokens increase with the document version and with every order, and exceed the
+ * token that the engine reports, so that an engine can refuse the orders of a replaced
  * sidecar.
  *
  * The engines that load the same model start one after another, by rank and with jitter,
@@ -47,14 +47,14 @@
     void plan(const Document &document, const InstanceView &view, TimePoint now);
 
     /**
-     * @brief Handles a report of the engine.
+     * @brief Handles a load report of the engine.
      * @param now Time at which the report was received.
      */
     void onReport(const EndpointLoadReport &report, TimePoint now);
 
     /**
      * @brief Handles the answer to an order.
-     * @param answer Answer; ignored unless its fencing number is that of the order in flight.
+     * @param answer Answer; ignored unless its fencing token is that of the order in flight.
      * @param now Current time.
      */
     void onAnswer(const OrderAnswered &answer, TimePoint now);
