--- a/src/bergamottide/serving/callplanner.cpp
+++ b/src/bergamottide/serving/callplanner.cpp
@@ -45,7 +45,7 @@
         return std::nullopt;
     }
     const std::size_t wanted = std::min<std::size_t>(countWaitingPieces(queue, m_tasks), pool.batch->maxItems);
-    // Used results free memory soon; a small call would occupy the endpoint meanwhile.
+    // Stored results will soon be used and their memory freed; until then a small call would occupy the endpoint.
     if (bestEndpoint->usedResultBytes() != 0
         && static_cast<double>(best.items.size()) < minFillRatio * static_cast<double>(wanted)) {
         return std::nullopt;
--- a/src/bergamottide/serving/drainrate.h
+++ b/src/bergamottide/serving/drainrate.h
@@ -28,7 +28,7 @@
     DrainRate(const BatchSpec &spec, const std::vector<Endpoint *> &endpoints, Duration remainingCallTime,
               double itemsPerCall, TimePoint now);
 
-    /*! @brief Returns the wait of a task behind a number of pieces and the calls in progress. */
+    /*! @brief Returns how long a task waits for the calls in progress and a number of pieces queued before it. */
     [[nodiscard]] Duration waitBehind(std::size_t pieces) const;
 
     /*! @brief Returns the additional wait for each piece ahead. */
--- a/src/bergamottide/serving/endpointregistry.h
+++ b/src/bergamottide/serving/endpointregistry.h
@@ -128,7 +128,7 @@
     void recordAnswer(const InstanceName &instance, TimePoint now);
 
     /**
-     * @brief Counts a timeout as a failure; an endpoint without any answer since the start may be ejected at once.
+     * @brief Counts a timeout as a failure; an endpoint that has not answered since `since` may be ejected at once.
      * @param instance Endpoint.
      * @param since When the work that timed out was sent.
      * @param now Current time.
@@ -136,7 +136,7 @@
      */
     void recordTimeout(const InstanceName &instance, TimePoint since, TimePoint now, Effects &effects);
 
-    /*! @brief Records how much longer an endpoint will be cold, as it reported. */
+    /*! @brief Records the remaining warm-up time that an endpoint reported. */
     void recordWarmup(const InstanceName &instance, Duration remaining, TimePoint now);
 
     /*! @brief Records the load that an endpoint reported. */
--- a/src/bergamottide/serving/fetchpaths.h
+++ b/src/bergamottide/serving/fetchpaths.h
@@ -31,7 +31,7 @@
     /*! @brief Tells whether the path from any of the source zones to the destination is broken. */
     [[nodiscard]] bool isBroken(const std::set<ZoneName> &sources, const ZoneName &destination, TimePoint now) const;
 
-    /*! @brief Tells whether the latest fetch has failed on any path. */
+    /*! @brief Tells whether there is a path whose last fetch failed. */
     [[nodiscard]] bool hasFailures() const noexcept;
 
 private:
--- a/src/bergamottide/serving/pendingtask.h
+++ b/src/bergamottide/serving/pendingtask.h
@@ -31,11 +31,9 @@
     TimePoint zoneWaitUntil{};
     /*! @brief When the endpoints are expected to have fetched its inputs; set once all pieces are in calls. */
     std::optional<TimePoint> inputsFetchedAt;
-    /*! @brief Whether its inputs have been released. */
     bool inputsReleased{};
 };
 
-/*! @brief Tasks by identifier. */
 using PendingTasks = std::map<StageTaskId, PendingTask>;
 
 /*! @brief Sort key of a queue: whether the task is late, its rank, its latest start and its identifier. */
--- a/src/bergamottide/serving/resultmemory.h
+++ b/src/bergamottide/serving/resultmemory.h
@@ -60,7 +60,7 @@
     void removeExpired(TimePoint now);
 
     /**
-     * @brief Replaces the report of a process on the results of a pool that other schedulers requested.
+     * @brief Replaces a process's report of the results that it uses and that other schedulers of the pool requested.
      * @param task Task with the report.
      * @param now Current time.
      */
--- a/src/bergamottide/serving/stagescheduler.cpp
+++ b/src/bergamottide/serving/stagescheduler.cpp
@@ -19,7 +19,7 @@
 constexpr Duration callTimeoutAllowance = std::chrono::milliseconds{200};
 /*! @brief Delay beyond its latest start at which a task counts as late; covers the error of the estimates. */
 constexpr Duration lateTolerance = std::chrono::milliseconds{50};
-/*! @brief Maximum wait of a late task; after that its caller had better retry. */
+/*! @brief Maximum wait of a late task; one that would wait longer fails, so that its caller can retry. */
 constexpr Duration maxLateWait = std::chrono::milliseconds{700};
 /*! @brief Inputs count as fetched after this multiple of their transfer time, plus an allowance for the latency; the
  * links are shared with other tasks. */
@@ -28,7 +28,7 @@
 /*! @brief Time for which a report of no work of other processes is trusted. An endpoint that is busy with the call of
  * another scheduler fetches inputs later than estimated. */
 constexpr Duration exclusivityTtl = std::chrono::seconds{2};
-/*! @brief Upper bound of the share of a pool that arriving work of lower ranks takes up in a forecast. */
+/*! @brief Upper bound of the share of a pool that a forecast assigns to more urgent work still to arrive. */
 constexpr double maxUrgentShare = 0.8;
 /*! @brief Maximum wait for an endpoint of the preferred zone; about the duration of a call. */
 constexpr Duration maxZoneWait = std::chrono::milliseconds{200};
@@ -36,7 +36,7 @@
 constexpr Duration zoneWaitMargin = std::chrono::milliseconds{200};
 /*! @brief Pause in calls to an endpoint that had no memory for a result, so that other results can be released. */
 constexpr Duration memoryFullPause = std::chrono::milliseconds{250};
-/*! @brief Maximum time between scans of an unchanged queue; ejected endpoints return, and tasks become late. */
+/*! @brief Maximum time between scans of a queue; even without an event, ejections end and tasks become late. */
 constexpr Duration scanPeriod = std::chrono::milliseconds{10};
 /*! @brief Pause in calls to an endpoint that rejected one: it is busy with another process or draining. */
 constexpr Duration rejectionPause = std::chrono::milliseconds{60};
@@ -199,8 +199,8 @@
 }
 
 /*
- * Moves tasks that cannot start in time behind all that can. Served in order of arrival, a backlog of late tasks would
- * delay the tasks behind it until they are late as well.
+ * Moves tasks that cannot start in time behind all that can. Otherwise a backlog of late tasks would delay the tasks
+ * behind it until they are late as well.
  */
 void StageScheduler::markLate(const Pool &pool, StageQueue &queue, TimePoint now)
 {
--- a/src/bergamottide/serving/stagescheduler.h
+++ b/src/bergamottide/serving/stagescheduler.h
@@ -126,7 +126,7 @@
     /*! @brief Returns the pools with a non-empty queue. */
     [[nodiscard]] std::vector<PoolName> queuedPools() const;
 
-    /*! @brief Returns when `expire` or `dispatch` has to be called next; nothing if neither is pending. */
+    /*! @brief Returns when `handleTimeouts` or `dispatch` has to be called next; nothing if neither is pending. */
     [[nodiscard]] std::optional<TimePoint> nextWakeup() const;
 
     /*! @brief Returns the number of queue scans so far; the cost of a scan is linear in the length of the queue. */
--- a/src/bergamottide/serving/stagetask.h
+++ b/src/bergamottide/serving/stagetask.h
@@ -47,13 +47,13 @@
     TimePoint deadline{};
     /*! @brief Latest start that can still meet the objective of the request; orders tasks of equal rank. */
     TimePoint latestStart{};
-    /*! @brief Identifier of the attempt of the request. */
+    /*! @brief Identifier of the caller's attempt to which the stage belongs. */
     std::string attempt;
     /*! @brief Index of the stage in its route. */
     std::uint32_t stage{};
     /*! @brief Number of pieces to compute. */
     std::uint32_t pieces{};
-    /*! @brief Input of a stage that follows no other stage. */
+    /*! @brief Input key of the request; set for stages without dependencies. */
     std::string inputKey;
     /*! @brief Results that every piece takes as input; the scheduler releases them once the task has succeeded. */
     std::vector<StoredResult> inputs;
