--- a/src/bergamottide/serving/events.h
+++ b/src/bergamottide/serving/events.h
@@ -114,7 +114,7 @@
     HttpHeaders headers;
     /*! @brief The endpoint states that it did not execute the request. */
     bool notExecuted{};
-    /*! @brief Not executed because input results no longer exist; another endpoint would fail the same way. */
+    /*! @brief Not executed because inputs could not be fetched: they no longer exist, or their zone is unreachable. */
     bool areInputsMissing{};
     /*! @brief The response belongs to another request. */
     bool isForOtherRequest{};
--- a/src/bergamottide/serving/request.h
+++ b/src/bergamottide/serving/request.h
@@ -54,7 +54,7 @@
     /*! @brief Forecast on arrival of the time between sending the request to an endpoint and the response or first
      * event. */
     Duration expectedRunTime{};
-    /*! @brief Forecast on arrival of the time of the response or first event. */
+    /*! @brief Time of the response or first event, as forecast on arrival. */
     TimePoint expectedResponseAt{};
 
     std::vector<StageProgress> stages;
@@ -73,7 +73,7 @@
     std::optional<TimePoint> inputsFetchedAt;
     /*! @brief The current run has been detected as stalled. */
     bool isStallDetected{};
-    /*! @brief When the first event of a stream arrived. */
+    /*! @brief When the response headers of a stream arrived, which counts as its first event. */
     std::optional<TimePoint> firstEventAt;
     /*! @brief Endpoint of the current or last run. */
     InstanceName endpoint;
--- a/src/bergamottide/serving/servingreducer.cpp
+++ b/src/bergamottide/serving/servingreducer.cpp
@@ -21,8 +21,7 @@
 /*! @brief Deadline of a request that has none. */
 constexpr Duration defaultDeadline = std::chrono::seconds{60};
 
-/*! @brief Subtracted from the caller's deadline to allow for the network time of the response.
- */
+/*! @brief Subtracted from the caller's deadline to allow for the network time of the response. */
 constexpr Duration responseMargin = std::chrono::milliseconds{25};
 /*!
  * @brief Time from the start of a drain during which new requests are still accepted.
@@ -255,8 +254,8 @@
 }
 
 /*
- * Estimates the time between sending a request to an endpoint and its first event. The start times of stages depend on
- * it: a long prompt has to leave them earlier than a short one.
+ * Estimates the time between sending a request to an endpoint and its first event. The longer it is, the earlier the
+ * stages have to be complete to meet the objective.
  */
 Duration ServingReducer::expectedRunTime(const Request &request)
 {
--- a/src/bergamottide/serving/servingreducer.h
+++ b/src/bergamottide/serving/servingreducer.h
@@ -82,7 +82,7 @@
      */
     [[nodiscard]] Heartbeat heartbeat(const std::string &to, TimePoint now);
 
-    /*! @brief Returns whether the process accepts requests: it has a catalog and endpoints, and is not draining. */
+    /*! @brief Returns whether the process is ready: it has a catalog and endpoints, and is not draining. */
     [[nodiscard]] bool canServe() const;
 
 private:
--- a/src/bergamottide/serving/servingruns.cpp
+++ b/src/bergamottide/serving/servingruns.cpp
@@ -14,8 +14,7 @@
 constexpr int leastUrgentRank = 9;
 
 /*! @brief A run counts as stalled if it has no response headers after this multiple of the pool's average time, and not
- * before `minStallTime`.
- */
+ * before `minStallTime`. */
 constexpr int stallFactor = 6;
 constexpr Duration minStallTime = std::chrono::milliseconds{1000};
 
