--- a/src/bergamottide/membership/configdistribution.cpp
+++ b/src/bergamottide/membership/configdistribution.cpp
@@ -301,7 +301,7 @@
                                        reason + " digest " + formatDigest(verdict.digest) + ' ' + detail});
     m_effects.emplace_back(LogLine{Severity::Error,
                                    Part::Config,
-                                   "Configuration document rejected, the active one is kept.",
+                                   "Configuration document rejected; the active one is kept.",
                                    {{"version", std::to_string(verdict.version)},
                                     {"reason", reason},
                                     {"from", source},
--- a/src/bergamottide/membership/instanceview.h
+++ b/src/bergamottide/membership/instanceview.h
@@ -23,7 +23,7 @@
     static constexpr std::array<std::string_view, 2> names{"entry", "side"};
 };
 
-/*! @brief Instance in the platform's instance list. */
+/*! @brief Entry of the platform's instance list. */
 struct Instance
 {
     InstanceName name;
--- a/src/bergamottide/membership/subscribers.cpp
+++ b/src/bergamottide/membership/subscribers.cpp
@@ -66,7 +66,7 @@
 ConfigDelta Subscribers::deltaFor(Subscriber &subscriber, const ConfigStore &store, TimePoint now) const
 {
     if (!isBehind(subscriber, store)) {
-        // Empty: it only states the active version, also if the subscriber has a newer or conflicting one.
+        // An empty delta states the active version, even to a subscriber that has a newer or conflicting one.
         return ConfigDelta{store.version(), store.digest(), store.version(), store.digest(), {}, {}};
     }
     ConfigDelta delta = store.deltaSince(subscriber.version, subscriber.digest);
--- a/src/bergamottide/membership/subscribers.h
+++ b/src/bergamottide/membership/subscribers.h
@@ -20,7 +20,7 @@
      * Changes in between are coalesced into one delta.
      */
     Duration minDeltaInterval{std::chrono::milliseconds{500}};
-    /*! @brief Silence after which a subscriber gets an empty delta as a sign of life. */
+    /*! @brief Silence after which a subscriber gets an empty delta as a heartbeat. */
     Duration heartbeatInterval{std::chrono::seconds{1}};
     /*! @brief Time after which a subscription expires unless it is renewed. */
     Duration lease{std::chrono::seconds{30}};
--- a/src/bergamottide/membership/zoneorder.cpp
+++ b/src/bergamottide/membership/zoneorder.cpp
@@ -87,7 +87,7 @@
     }
     const ZoneKey own{region, zone};
     zones.erase(own);
-    // The cyclic order starts with the zone that follows the own one.
+    // The cyclic order starts with the zone after this one.
     std::vector<ZoneKey> ring{zones.lower_bound(own), zones.end()};
     ring.insert(ring.end(), zones.begin(), zones.lower_bound(own));
     std::vector<InstanceName> roots;
--- a/src/bergamottide/serving/heartbeat.h
+++ b/src/bergamottide/serving/heartbeat.h
@@ -77,7 +77,8 @@
     std::uint64_t acknowledgedDigest{};
     /*! @brief Live peers; absent while the receiver already has the same roster. */
     std::optional<std::vector<RosterEntry>> roster;
-    /*! @brief Waits at the pools whose queue it owns; a relay also forwards those of other relays to its leaves. */
+    /*! @brief Waits at the pools whose queue it owns; to processes that are not relays, a relay also forwards those of
+     * other relays. */
     std::vector<PoolWait> waits;
     /*! @brief Work that has yet to reach the pools; from a relay also that of its peers. */
     std::vector<UpcomingWork> upcoming;
--- a/src/bergamottide/serving/membershipview.cpp
+++ b/src/bergamottide/serving/membershipview.cpp
@@ -226,8 +226,8 @@
 }
 
 /*
- * The primary relay is of the own zone, to limit cross-zone traffic. The standby is of another zone, so that losing all
- * relays of one zone does not disconnect the process.
+ * If possible, the primary relay is in the zone of this process, to limit cross-zone traffic, and the standby is in
+ * another zone, so that losing all relays of one zone does not disconnect the process.
  */
 void MembershipView::selectPartners()
 {
--- a/src/bergamottide/serving/membershipview.h
+++ b/src/bergamottide/serving/membershipview.h
@@ -96,7 +96,7 @@
     /*!
      * @brief Returns the peers with which this process exchanges heartbeats.
      *
-     * On a process that is not a relay the first one is the primary relay, in the own zone if there is one.
+     * On a process that is not a relay the first one is the primary relay, in the zone of this process if possible.
      */
     [[nodiscard]] const std::vector<InstanceName> &partners() const noexcept;
 
--- a/src/bergamottide/serving/peers.cpp
+++ b/src/bergamottide/serving/peers.cpp
@@ -196,8 +196,8 @@
 }
 
 /*
- * Returns addresses without a live peer, least recently contacted first. Among equals the likeliest relays come first:
- * a relay knows all other peers, which shortens discovery.
+ * Returns addresses without a live peer, least recently contacted first. Among equals, addresses of unknown peers come
+ * first, then the likeliest relays: a relay knows all other peers, which shortens discovery.
  */
 std::vector<std::string> Peers::probeTargets(TimePoint now) const
 {
--- a/src/bergamottide/serving/peers.h
+++ b/src/bergamottide/serving/peers.h
@@ -21,7 +21,7 @@
  *
  * Up to sixteen processes of high capacity are relays. They exchange heartbeats with each other, and every other
  * process exchanges heartbeats with two relays. The load of an ordinary process is therefore independent of the size of
- * the fleet, and that of a relay grows by one sixteenth of it. The relays are a function of the live peers: processes
+ * the fleet, and each relay serves only a part of it. The relays are a function of the live peers: processes
  * with the same membership agree on them without coordination.
  *
  * The queue of a stage pool has one owner among the relays, selected by rendezvous hashing. While memberships differ,
--- a/src/bergamottide/serving/retrybudget.cpp
+++ b/src/bergamottide/serving/retrybudget.cpp
@@ -44,7 +44,7 @@
 std::uint32_t RetryBudget::effectiveProcessCount(TimePoint now)
 {
     const TimePoint oldest = now - m_options.window;
-    // A count applies until one window after the next smaller one was set.
+    // A count still applies for one window after a smaller one has been set.
     while (m_processCounts.size() > 1 && m_processCounts[1].first <= oldest) {
         m_processCounts.pop_front();
     }
--- a/src/bergamottide/serving/retrybudget.h
+++ b/src/bergamottide/serving/retrybudget.h
@@ -68,7 +68,7 @@
     PoolHistory &prunedHistory(const PoolName &pool, TimePoint now);
 
     RetryBudgetOptions m_options;
-    /*! @brief Process counts with the times at which they were set, in strictly decreasing order. */
+    /*! @brief Process counts in strictly decreasing order, each with the time at which it was set. */
     std::deque<std::pair<TimePoint, std::uint32_t>> m_processCounts;
     /*! @brief When the first process count was set. */
     TimePoint m_startedAt{};
--- a/src/bergamottide/serving/servingpeers.cpp
+++ b/src/bergamottide/serving/servingpeers.cpp
@@ -96,7 +96,7 @@
         m_effects.emplace_back(
             LogLine{Severity::Warning,
                     Part::Membership,
-                    "Queue owner does not respond, its task is rescheduled.",
+                    "Queue owner does not respond; its task is rescheduled.",
                     {{"peer", event.peer.text()}, {"pool", task.pool.text()}, {"request", task.attempt}}});
         submitTask(std::move(task));
         return;
@@ -226,7 +226,7 @@
         m_effects.emplace_back(
             LogLine{Severity::Info,
                     Part::Membership,
-                    "Peers have changed.",
+                    "Number of live peers has changed.",
                     {{"live", absl::StrCat(after)}, {"peer", event.heartbeat.from.instance.text()}}});
     }
 }
--- a/test/bergamottide/membership/configdistribution.cpp
+++ b/test/bergamottide/membership/configdistribution.cpp
@@ -252,7 +252,7 @@
         Zone zone{40, 2, 0.0};
         zone.publish(1);
         zone.run(20 * second);
-        // The three entries come first in the order, so these two are parents.
+        // The three processes with the role Entry come first in the order, so these two have children.
         zone.stop(InstanceName{"i0"});
         zone.stop(InstanceName{"i1"});
         zone.publish(2);
--- a/test/bergamottide/serving/largefleet.cpp
+++ b/test/bergamottide/serving/largefleet.cpp
@@ -299,7 +299,7 @@
         m_scheduler.submit(std::move(task), m_now);
     }
 
-    /*! @brief Occupies the only endpoint with a call, and queues another task that has just been reviewed. */
+    /*! @brief Occupies the only endpoint with a call, and queues another task; the queue has just been scanned. */
     void queueTaskBehindBusyEndpoint()
     {
         list({"encoder-1"});
