--- a/src/bergamottide/serving/endpointregistry.h
+++ b/src/bergamottide/serving/endpointregistry.h
@@ -128,7 +128,7 @@
     void recordAnswer(const InstanceName &instance, TimePoint now);
 
     /**
-     * @brief Records a timeout as a failure; an endpoint that has not responded at all since may be ejected at once.
+     * @brief Counts a timeout as a failure; an endpoint that has not answered since `since` may be ejected at once.
      * @param instance Endpoint.
      * @param since When the work that timed out was sent.
      * @param now Current time.
