--- a/src/bergamottide/admission/admissioncontrol.cpp
+++ b/src/bergamottide/admission/admissioncontrol.cpp
@@ -19,8 +19,8 @@
 constexpr double sustainedValueSpread = 0.95;
 /*! @brief Wait, as a share of the remaining time, above which a workspace counts as queueing for a pool. */
 constexpr double queueingThreshold = 0.03;
-/*! @brief Interval of requests that are admitted although their estimated service time exceeds the deadline; without
- * them the estimate could never recover after a slow period. */
+/*! @brief Interval of the probes: requests that are admitted although their estimated service time exceeds the
+ * remaining time. Without them the estimate could never recover after a slow period. */
 constexpr Duration probePeriod = std::chrono::seconds{1};
 /*! @brief Lower bound of `retryAfter`; the next load report should have arrived by then. */
 constexpr Duration minRetryAfter = std::chrono::milliseconds{250};
--- a/src/bergamottide/admission/admissioncontrol.h
+++ b/src/bergamottide/admission/admissioncontrol.h
@@ -47,8 +47,8 @@
  * time during a burst, and to a smaller one under sustained saturation, so that a full
  * early stage doesn't lock out requests with long later stages. Requests of low value are
  * refused first: the limit decreases with the share of the pool's recent demand that has a
- * higher value per second of endpoint time. A workspace below its fair share doesn't wait
- * and is therefore not affected by its value.
+ * higher value per second of endpoint time. A workspace below its fair share doesn't wait,
+ * so the value of its requests has no effect.
  */
 class AdmissionControl
 {
@@ -87,7 +87,7 @@
     using KindKey = std::pair<std::string, std::string>;
 
     [[nodiscard]] AdmissionDecision checkWorkspaceLimits(const Workspace &workspace, TimePoint now);
-    /*! @brief Refuses a request whose estimated service time exceeds its deadline, except for a periodic probe. */
+    /*! @brief Refuses a request whose estimated service time exceeds its remaining time, except for periodic probes. */
     [[nodiscard]] AdmissionDecision probeOrRefuse(const AdmissionQuery &query, Duration service, TimePoint now);
     [[nodiscard]] WaitEstimate estimateWaits(const AdmissionQuery &query, const Policy &policy, std::size_t entryCount,
                                              TimePoint now);
--- a/src/bergamottide/engines/engineplacement.cpp
+++ b/src/bergamottide/engines/engineplacement.cpp
@@ -9,15 +9,16 @@
 
 namespace {
 
-/*! @brief Weight of the engine time that the prefill takes from other generations, relative to the own wait. */
+/*! @brief Weight of the engine time that the prefill takes from other generations, relative to the generation's own
+ * wait. */
 constexpr double prefillWeight = 1.0;
 /*! @brief The same for tokens fetched from another engine, as a share of their prefill time. */
 constexpr double fetchWeight = 0.25;
 /*! @brief Minimum number of tokens to fetch; the prefill of fewer takes less time than setting up a transfer. */
 constexpr std::uint64_t minFetchTokens = 512;
 /*! @brief Cost reduction of the engine preferred by rendezvous hashing for a prefix that no engine is known to cache,
- * as a share of the prefill time. Processes that don't know of each other's latest sends thereby choose the same
- * engine. */
+ * as a share of the prefill time. Processes that don't know each other's latest generations thereby choose the
+ * same engine. */
 constexpr double preferredEngineShare = 0.5;
 /*! @brief Cost of transferring inputs from another zone, in seconds per byte. */
 constexpr double crossZoneSecondsPerByte = 8e-9;
@@ -86,7 +87,7 @@
     return best == candidates.end() ? InstanceName{} : best->engine;
 }
 
-/*! @brief Choice with its cost in seconds. */
+/*! @brief Engine choice and its estimated cost in seconds. */
 struct PricedChoice
 {
     EngineChoice choice;
@@ -137,7 +138,7 @@
     }
 
 private:
-    /*! @brief Lets the engine fetch the tokens instead of their prefill if possible; returns the cost in seconds. */
+    /*! @brief Lets the engine fetch the tokens instead of prefilling them, if possible; returns the cost in seconds. */
     [[nodiscard]] double fetch(EngineChoice &choice, std::uint64_t tokens) const
     {
         if (m_query.fetchRate <= 0.0 || tokens < minFetchTokens) {
--- a/src/bergamottide/engines/engineplacement.h
+++ b/src/bergamottide/engines/engineplacement.h
@@ -17,7 +17,7 @@
 {
     InstanceName engine;
     ZoneName zone;
-    /*! @brief Known runs in progress at the engine. */
+    /*! @brief Number of runs in progress at the engine, as far as this process knows. */
     std::uint32_t running{};
     /*! @brief The engine must not be chosen because the request was sent to it before. */
     bool isExcluded{};
--- a/src/bergamottide/engines/enginetable.cpp
+++ b/src/bergamottide/engines/enginetable.cpp
@@ -17,7 +17,7 @@
 /*! @brief Range of slowness samples; values beyond it are caused by a wrong estimate of the queue. */
 constexpr double minSlownessRatio = 0.5;
 constexpr double maxSlownessRatio = 6.0;
-/*! @brief Time constant of the decay of slowness, with which slow engines are retried every few seconds. */
+/*! @brief Time constant of the decay of slowness; lets slow engines be tried again after a few seconds. */
 constexpr double slownessDecaySeconds = 5.0;
 
 } // namespace
--- a/src/bergamottide/engines/firsteventmodel.cpp
+++ b/src/bergamottide/engines/firsteventmodel.cpp
@@ -11,7 +11,8 @@
 constexpr double defaultBaseSeconds = 0.1;
 /*! @brief Default of the prefill time per token, in seconds. */
 constexpr double defaultSecondsPerToken = 30e-6;
-/*! @brief Samples below which the defaults are used; the first few prompts may all have the same length. */
+/*! @brief Minimum samples for an estimate; with fewer the defaults are used, since the first few prompts may all have
+ * the same length. */
 constexpr std::uint64_t minTrustedSamples = 12;
 /*! @brief Prompt lengths between which the prefill rate is measured on the regression line, in tokens. */
 constexpr double shortPromptTokens = 1'000.0;
--- a/src/bergamottide/placement/endpoint.h
+++ b/src/bergamottide/placement/endpoint.h
@@ -100,7 +100,7 @@
     bool silent{};
     EjectionState ejection{};
     TimePoint ejectedUntil{};
-    /*! @brief Consecutive ejections without a successful trial run; each doubles the ejection time. */
+    /*! @brief Consecutive ejections without a successful trial run; each doubles the next time, up to a limit. */
     std::uint32_t ejections{};
     std::vector<ModelName> models;
     ReportedLoad reported;
--- a/src/bergamottide/placement/outlierejector.cpp
+++ b/src/bergamottide/placement/outlierejector.cpp
@@ -9,11 +9,11 @@
 
 /*! @brief Weight of a new sample in the moving averages; averages over about the last five. */
 constexpr double sampleWeight = 0.2;
-/*! @brief Own samples below which the sidecar's load report is used instead. */
+/*! @brief Minimum number of own samples; with fewer the sidecar's load report is used instead. */
 constexpr std::uint32_t minOwnSamples = 5;
 /*! @brief Upper bound of a slowness sample; limits the effect of a single hanging run. */
 constexpr double maxSlownessSample = 20.0;
-/*! @brief Median failure share above which no endpoint is ejected for failures, since the cause is a common one. */
+/*! @brief Median failure share above which no endpoint is ejected for failures, since they have a common cause. */
 constexpr double maxMedianFailureShare = 0.5;
 /*! @brief Limits the exponential growth of the ejection time. */
 constexpr std::uint32_t maxDoublings = 5;
@@ -167,7 +167,7 @@
         const bool failing = !mostFail && performance.failureShare > policy.ejectionFailures;
         const bool slow = performance.slowness > policy.ejectionFactor * medianSlowness;
         if (failing || slow) {
-            eject(number, policy, now, failing ? "fails more than its peers" : "slower than its peers");
+            eject(number, policy, now, failing ? "failure share exceeds the limit" : "slower than its peers");
             ++ejectedCount;
         }
     }
--- a/src/bergamottide/placement/outlierejector.h
+++ b/src/bergamottide/placement/outlierejector.h
@@ -19,13 +19,13 @@
 };
 
 /**
- * @brief Outlier detection: ejects endpoints that are slower or fail more often than the others of their pool.
+ * @brief Outlier detection: ejects endpoints that are much slower than the others of their pool, or fail often.
  *
- * Endpoints are compared with the median of their pool instead of a fixed bound, since an
- * overload or a fault that affects the whole pool must not eject its endpoints. For the
- * same reason at most a share of `ejectionCap` of a pool is ejected at a time. After
- * `ejectionTime` an ejected endpoint becomes half-open and gets one trial run, as with a
- * circuit breaker; each failed trial doubles the time.
+ * An overload or a fault that affects the whole pool must not eject its endpoints. Slowness
+ * is therefore compared with the median of the pool instead of a fixed bound, failures are
+ * ignored while the median failure share is high, and at most a share of `ejectionCap` of a pool is ejected at a time.
+ * After `ejectionTime` an ejected endpoint becomes half-open and gets one trial run, as with a circuit breaker; each
+ * failed trial doubles the time, up to a limit.
  */
 class OutlierEjector
 {
--- a/src/bergamottide/placement/placement.h
+++ b/src/bergamottide/placement/placement.h
@@ -45,8 +45,8 @@
  * their stale reports. The endpoint that the prompt's prefix is mapped to is preferred
  * while its load is bounded (`affinityBound`), so that a hot prefix doesn't overload it.
  * Farther tiers get fewer candidates and a penalty for their distance, so that runs spill
- * over to them only if the nearer ones are worse by more than that. The cost is
- * independent of the number of endpoints.
+ * over to them only if the nearer ones are worse by more than that. The time
+ * to place a run is independent of the number of endpoints.
  */
 class Placement
 {
@@ -69,8 +69,9 @@
                                                         TimePoint now);
 
     /**
-     * @brief Estimates how long a new run would wait, from more candidates than a placement.
-     * @return Estimated wait at the best candidate, or nothing if no endpoint is available.
+     * @brief Estimates how long a new run would wait, from at least as many candidates as a placement.
+     * @return Estimated wait at the best candidate, including the penalty for its distance; nothing if no endpoint is
+     * available.
      */
     [[nodiscard]] std::optional<Duration> estimateWait(const PlacementQuery &query, const Policy &policy,
                                                        TimePoint now);
--- a/test/bergamottide/scheduling/fairqueue.cpp
+++ b/test/bergamottide/scheduling/fairqueue.cpp
@@ -117,7 +117,7 @@
         queue.setWeight(workspace(0), 1.0);
         queue.setWeight(workspace(1), 3.0);
         for (std::uint64_t number = 0; number < 4000; ++number) {
-            // Different costs tell a division of time from a division of runs.
+            // The costs differ, so that dividing the runs by weight would not divide the time by weight.
             const bool heavy = number % 2 == 1;
             (void)queue.push(item(number, workspace(number % 2), heavy ? 10ms : 70ms, 10h));
         }
--- a/test/support/engineload.cpp
+++ b/test/support/engineload.cpp
@@ -85,7 +85,7 @@
 void EngineLoad::arrive(const PromptKind &kind)
 {
     const auto part = static_cast<std::uint32_t>(uniform() * kind.sharedParts);
-    // The length of the own part varies by a factor of two in both directions.
+    // The part specific to the request is between half and twice as long as `ownTokens`.
     const double length = std::exp2(2.0 * uniform() - 1.0);
     const std::string shared = kind.name + std::to_string(part);
     const std::vector<PromptPart> prompt{
--- a/test/support/engineload.h
+++ b/test/support/engineload.h
@@ -13,7 +13,7 @@
 
 namespace bergamottide::test {
 
-/*! @brief Kind of requests; each prompt consists of a shared part and a part of its own. */
+/*! @brief Kind of requests; each prompt consists of a shared part and a part specific to the request. */
 struct PromptKind
 {
     std::string name;
@@ -147,7 +147,7 @@
 pickByRequestCount(engines::EngineTable &table, const std::vector<engines::EngineCandidate> &candidates,
                    const engines::GenerationQuery &needs, TimePoint now);
 
-/*! @brief Returns a load of long and short prompts with shared parts, as of a design studio. */
+/*! @brief Returns a load of long and short prompts with shared parts. */
 [[nodiscard]] EngineLoadOptions designStudioLoad();
 
 } // namespace bergamottide::test
