--- a/src/bergamottide/platform/instanceclient.cpp
+++ b/src/bergamottide/platform/instanceclient.cpp
@@ -81,7 +81,7 @@
     const auto list = root.find("instances");
     if (list == root.end() || !list->is_array() || list->size() > maxInstances) {
         return makeError(Reason::MalformedBody, "instances",
-                         "The instance list has no array of instances, or too many of them");
+                         "The instance list has no array of instances, or has too many instances");
     }
     InstanceView view;
     view.revision = revision->get<std::uint64_t>();
--- a/src/bergamottide/platform/longpoll.h
+++ b/src/bergamottide/platform/longpoll.h
@@ -24,7 +24,8 @@
     /*!
      * @brief Time for which the service may hold a read while there is no newer value.
      *
-     * Bounds the rate of reads of an unchanged value, which count against the service's budget.
+     * Bounds the rate of reads of an unchanged value, each of which counts against the service's
+     * request budget.
      */
     Duration wait{std::chrono::seconds{25}};
     /*! @brief Time beyond `wait` after which a read without a response fails. */
@@ -32,7 +33,7 @@
     /*!
      * @brief Delay between a response and the next read.
      *
-     * Bounds the rate of reads during a burst of changes, several of which one read then fetches.
+     * Bounds the rate of reads during a burst of changes: one read fetches the result of several changes.
      */
     Duration readDelay{std::chrono::milliseconds{250}};
     Duration initialBackoff{std::chrono::milliseconds{200}};
@@ -62,7 +63,7 @@
     /*! @brief Callbacks, called on the event loop's thread. */
     struct Hooks
     {
-        /*! @brief Takes a value; returns its version, or the reason why it is rejected. */
+        /*! @brief Validates and applies a value; returns its version, or the reason why it is rejected. */
         std::function<absl::StatusOr<std::uint64_t>(HttpResponse answer)> value;
         /*! @brief Optional: a read failed, or its value was rejected. */
         std::function<void(const absl::Status &error)> failed;
--- a/test/platform/fakes.h
+++ b/test/platform/fakes.h
@@ -28,13 +28,13 @@
     /*! @brief Sets whether every request is answered 503. */
     void setUnavailable(bool isUnavailable);
 
-    /*! @brief Answers lists with `allowStale` with the present items from now on, whatever is published later. */
+    /*! @brief Answers lists with `allowStale` with the current items from now on, whatever is published later. */
     void freezeStaleList();
 
     /*! @brief Splits lists with `allowStale` after a key: the first page is current, the second is stale. */
     void splitStaleListAfter(const std::string &key);
 
-    /*! @brief Discards the history: watches from before the present revision are answered 410. */
+    /*! @brief Discards the history: watches from before the current revision are answered 410. */
     void discardHistory();
 
     /*! @brief Returns the number of requests received. */
