--- a/src/bergamottide/placement/outlierejector.cpp
+++ b/src/bergamottide/placement/outlierejector.cpp
@@ -167,7 +167,7 @@
         const bool failing = !mostFail && performance.failureShare > policy.ejectionFailures;
         const bool slow = performance.slowness > policy.ejectionFactor * medianSlowness;
         if (failing || slow) {
-            eject(number, policy, now, failing ? "failure share exceeds the limit" : "slower than its peers");
+            eject(number, policy, now, failing ? "fails more than its peers" : "slower than its peers");
             ++ejectedCount;
         }
     }
