--- a/src/bergamottide/endpoint/engineadapter.cpp
+++ b/src/bergamottide/endpoint/engineadapter.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/*! @brief Maximum number of resumptions of one run; an engine that breaks more streams counts as failing. */
+/*! @brief Maximum number of resumptions of one run; if its stream breaks again, the run fails. */
 constexpr int maxResumptions = 2;
 /*! @brief Maximum size of one server-sent event in bytes. */
 constexpr std::size_t maxEventBytes = 64u << 10;
@@ -201,11 +201,11 @@
 void EngineAdapter::handleTokens(Run &run, const TokenEvent &event)
 {
     if (event.offset + event.tokens <= run.tokens && event.tokens > 0) {
-        // Received already on an earlier connection.
+        // Already received on an earlier connection.
         return;
     }
     if (event.offset != run.tokens) {
-        // Tokens are missing, or an event overlaps the point of resumption.
+        // Tokens are missing, or the event contains received tokens as well as new ones.
         run.fault = Reason::EndpointFailed;
         return;
     }
--- a/src/bergamottide/sidecar/drain.cpp
+++ b/src/bergamottide/sidecar/drain.cpp
@@ -45,7 +45,7 @@
     m_context.draining = draining;
     // After a pause the drain may have been signalled at any time since the pause began.
     m_context.drainingSince = m_context.peers.awaitsConfirmation() ? m_context.pausedSince : m_context.now;
-    const char *text = draining ? "Drain started." : "Drain called off.";
+    const char *text = draining ? "Drain started." : "Drain canceled.";
     m_context.effects.log(Severity::Info, Part::Sidecar, text, {{"cause", cause}});
     const AuditKind kind = draining ? AuditKind::DrainStarted : AuditKind::Return;
     m_context.effects.add(AuditRecord{kind, m_context.identity.instance.text(), cause, ""});
--- a/src/bergamottide/sidecar/drain.h
+++ b/src/bergamottide/sidecar/drain.h
@@ -18,7 +18,7 @@
  * short grace period. After a stop request the process exits once all runs have ended and
  * their results are acknowledged or expired, at the latest after the maximum deadline plus
  * the result retention. A drain caused by the instance list alone does not end the process
- * and can be called off.
+ * and can be canceled.
  */
 class Drain
 {
@@ -36,7 +36,7 @@
      * @param cause Reason given in the log and in the audit trail.
      */
     void onRequested(const std::string &cause);
-    /*! @brief Starts or calls off the drain according to the current instance list. */
+    /*! @brief Starts or cancels the drain according to the current instance list. */
     void onViewChanged();
     /*! @brief Emits `DrainComplete` once, as soon as the process may exit. */
     void onTick();
--- a/src/bergamottide/sidecar/resultdelivery.cpp
+++ b/src/bergamottide/sidecar/resultdelivery.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t maxHeldBytes = 64U << 20U;
 /*! @brief Bytes of stored bodies and results above which no request is opened. */
 constexpr std::size_t lowMemoryBytes = maxHeldBytes / 4 * 3;
-/*! @brief Longest interval between two resends of the end, in keep-alive periods. */
+/*! @brief Longest interval between two resends of `RunFinished`, in keep-alive periods. */
 constexpr int maxBackoffPeriods = 8;
 
 std::size_t sizeInBytes(const RunRecord &run)
--- a/src/bergamottide/sidecar/resultdelivery.h
+++ b/src/bergamottide/sidecar/resultdelivery.h
@@ -29,7 +29,7 @@
 {
 public:
     /**
-     * @brief Creates a delivery that stores nothing yet.
+     * @brief Creates the component; the references must outlive it.
      * @param context Shared state of the sidecar.
      * @param runs Runs of the sidecar.
      */
@@ -74,7 +74,7 @@
      */
     void repeatOrExpire(RunRecord &run);
 
-    /*! @brief Sends the end of a run to one subscriber. */
+    /*! @brief Sends `RunFinished` for a run that has ended to one subscriber. */
     void sendEnd(const RunRecord &run, const InstanceName &peer);
 
     /*! @brief Returns the time until which a run that ends now is retained. */
--- a/src/bergamottide/sidecar/runscheduler.cpp
+++ b/src/bergamottide/sidecar/runscheduler.cpp
@@ -204,7 +204,7 @@
 
 Duration RunScheduler::retryDelay(const RunRecord &run) const
 {
-    // At least the report period, after which the caller has newer load figures.
+    // At least the report period: an earlier retry would be placed by the same load report.
     return std::max(m_queue.wait(run.spec.workspace), m_context.policy.reportPeriod);
 }
 
--- a/src/bergamottide/sidecar/runtable.h
+++ b/src/bergamottide/sidecar/runtable.h
@@ -45,7 +45,7 @@
     std::optional<TimePoint> abandonedAt;
     /*! @brief Time of the next keep-alive, resend or removal. */
     TimePoint due;
-    /*! @brief Interval before the next resend of the end. */
+    /*! @brief Interval before the next resend of `RunFinished`. */
     Duration backoff{};
 
     /*! @brief Returns whether the run must not be repeated. */
--- a/src/bergamottide/sidecar/sidecarcontext.h
+++ b/src/bergamottide/sidecar/sidecarcontext.h
@@ -8,7 +8,7 @@
 
 namespace bergamottide {
 
-/*! @brief State shared by all parts of a sidecar. */
+/*! @brief State shared by the components of a sidecar. */
 struct SidecarContext
 {
     SidecarIdentity identity;
