--- a/src/bergamottide/app/adminport.h
+++ b/src/bergamottide/app/adminport.h
@@ -42,7 +42,7 @@
     /**
      * @brief Handles one HTTP request.
      * @param request Request.
-     * @param responder Takes the response.
+     * @param responder Sends the response.
      */
     void handle(const HttpRequest &request, HttpResponder &responder);
 
--- a/src/bergamottide/app/callerport.h
+++ b/src/bergamottide/app/callerport.h
@@ -21,21 +21,22 @@
 class CallerPort
 {
 public:
-    /*! @brief Takes an event; may call `carryOut` before it returns. */
+    /*! @brief Called with each event; may call `carryOut` before it returns. */
     using EventSink = std::function<void(EntryEvent event)>;
 
     /**
-     * @brief Creates a port; the HTTP server is separate.
+     * @brief Creates a port; the HTTP server passes requests to `handle`.
      * @param tickets Encodes and decodes tickets; outlives the port.
-     * @param seed Number unique to this start of the process, for request identities without random bytes.
-     * @param submitEvent Takes the events.
+     * @param seed Number unique to this start of the process; part of a request identity if no random bytes are
+     * available.
+     * @param submitEvent Called with each event.
      */
     CallerPort(const TicketCodec &tickets, std::uint64_t seed, EventSink submitEvent);
 
     /**
      * @brief Handles one HTTP request.
      * @param request Request.
-     * @param responder Takes the response.
+     * @param responder Sends the response.
      */
     void handle(const HttpRequest &request, std::shared_ptr<HttpResponder> responder);
 
--- a/src/bergamottide/app/peerport.cpp
+++ b/src/bergamottide/app/peerport.cpp
@@ -226,7 +226,7 @@
     HttpCallHooks hooks;
     hooks.done = [](const HttpResponse &) {
     };
-    // Nothing to do: the queue owner drops its record when the results expire.
+    // Not retried: the queue owner drops its record when the results expire.
     hooks.failed = [](HttpFailure) {
     };
     m_taskClient.call(effect.peer.address, post(releasedPath, peerwire::encodeHandles(effect.handles)),
--- a/src/bergamottide/app/peerport.h
+++ b/src/bergamottide/app/peerport.h
@@ -20,7 +20,7 @@
 /*! @brief Callbacks through which a peer port reaches its process. */
 struct PeerPortHooks
 {
-    /*! @brief Takes an event caused by a peer. */
+    /*! @brief Called with each event caused by a peer. */
     std::function<void(serving::Event event)> submit;
     /*! @brief Returns the heartbeat to send to the peer at an address. */
     std::function<serving::Heartbeat(const std::string &to)> heartbeat;
--- a/src/bergamottide/app/peerset.h
+++ b/src/bergamottide/app/peerset.h
@@ -78,10 +78,10 @@
     [[nodiscard]] std::size_t wantedCount() const noexcept;
 
 private:
-    /*! @brief Request of a temporary stream. */
+    /*! @brief Request for a temporary stream. */
     struct StreamRequest
     {
-        /*! @brief Time of the first request, or at which the stream closed. */
+        /*! @brief Time since which the requested stream has not been open. */
         TimePoint unconnectedSince;
         TimePoint lastRequestedAt;
     };
--- a/src/bergamottide/app/platformfeed.h
+++ b/src/bergamottide/app/platformfeed.h
@@ -59,7 +59,7 @@
      */
     PlatformFeed(Loop &loop, const PlatformFeedOptions &options, PlatformFeedHooks hooks);
 
-    /*! @brief Starts to read. */
+    /*! @brief Starts reading the configuration and the instance list. */
     void start();
 
     /**
--- a/src/bergamottide/app/signalwatch.h
+++ b/src/bergamottide/app/signalwatch.h
@@ -10,7 +10,7 @@
 namespace bergamottide {
 
 /**
- * @brief Blocks the signals that the daemons handle.
+ * @brief Blocks the signals that the daemons handle and ignores SIGPIPE.
  *
  * Call it first in `main`: threads started later inherit the mask, so that only `SignalWatch` receives the signals.
  */
--- a/src/bergamottide/ctl/command.h
+++ b/src/bergamottide/ctl/command.h
@@ -80,7 +80,7 @@
 struct Command
 {
     std::string_view name;
-    /*! @brief Arguments as the help shows them. */
+    /*! @brief Names of the arguments, for the help. */
     std::string_view arguments;
     /*! @brief Description in one sentence. */
     std::string_view doc;
--- a/src/bergamottide/ctl/explain.cpp
+++ b/src/bergamottide/ctl/explain.cpp
@@ -112,7 +112,7 @@
     return trace;
 }
 
-/*! @brief Returns whether a state change belongs to a trace: same process and time span, and no other endpoint. */
+/*! @brief Returns whether an entry is a state change in a trace's processes and time span; other endpoints excluded. */
 bool isRelevant(const LogEntry &entry, const RequestTrace &trace)
 {
     const std::string endpoint = entry.field("endpoint");
--- a/src/tools/bergamottidectl.cpp
+++ b/src/tools/bergamottidectl.cpp
@@ -17,7 +17,7 @@
 DEFINE_string(kind, "", "kind of the requests");
 DEFINE_string(deadline, "", "deadline of each request, with its unit");
 DEFINE_double(rate, 10.0, "requests per second of load");
-DEFINE_string(time, "10s", "time during which load sends");
+DEFINE_string(time, "10s", "duration of load");
 DEFINE_string(timeout, "5s", "time without data after which a call to a process has failed");
 
 using namespace bergamottide;
--- a/src/tools/standin.cpp
+++ b/src/tools/standin.cpp
@@ -24,22 +24,22 @@
 #include <unistd.h>
 
 DEFINE_string(kind, "stage", "engine, stage, service, weights, config, instances or relay");
-DEFINE_string(name, "", "Name given in answers");
-DEFINE_string(listen, "127.0.0.1:0", "IP number and port to listen on");
+DEFINE_string(name, "", "Name of the endpoint in its responses");
+DEFINE_string(listen, "127.0.0.1:0", "IP address and port to listen on");
 DEFINE_int32(base_us, 5000, "Service time before the answer or the first token, in microseconds");
 DEFINE_int32(token_us, 1000, "Service time for each token, in microseconds");
 DEFINE_double(jitter, 0.0, "Half width of the uniform jitter of service times, from 0 to 1");
 DEFINE_uint64(seed, 1, "Seed of jitter and faults");
-DEFINE_uint32(concurrency, 64, "Runs executed concurrently");
+DEFINE_uint32(concurrency, 64, "Maximum number of runs executed concurrently");
 DEFINE_double(fail_share, 0.0, "Share of runs answered 500");
-DEFINE_double(refuse_share, 0.0, "Share of runs refused before they begin");
+DEFINE_double(refuse_share, 0.0, "Share of runs refused before they start");
 DEFINE_uint32(tokens_per_event, 1, "Tokens in one event of an engine");
-DEFINE_uint32(tokens, 16, "Tokens of a run that asks for none");
-DEFINE_bool(honours_fencing, true, "An engine rejects orders with an outdated fencing number");
+DEFINE_uint32(tokens, 16, "Default number of tokens of a run");
+DEFINE_bool(honours_fencing, true, "An engine rejects orders with an outdated fencing token");
 DEFINE_uint32(break_after_events, 0, "Events after which an engine's stream breaks off; 0 for never");
 DEFINE_double(reads_per_second, 10.0, "Reads that the weight store allows");
-DEFINE_string(target, "", "Address that a relay relays to");
-DEFINE_uint32(max_seconds, 900, "Time after which the stand-in ends by itself");
+DEFINE_string(target, "", "Address to which a relay forwards connections");
+DEFINE_uint32(max_seconds, 900, "Seconds after which the process exits by itself");
 
 namespace {
 
