--- a/src/bergamottide/entry/entryevents.h
+++ b/src/bergamottide/entry/entryevents.h
@@ -111,7 +111,7 @@
     std::string cause;
 };
 
-/*! @brief Event: the time returned by `nextWakeup` has been reached, or periodic. */
+/*! @brief Event: the time returned by `nextWakeup` has been reached; may also be sent earlier. */
 struct Tick
 {
 };
--- a/src/bergamottide/entry/fetches.cpp
+++ b/src/bergamottide/entry/fetches.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/*! @brief Limit of the exponential backoff between queries. */
+/*! @brief Maximum number of times that the interval between queries is doubled. */
 constexpr std::uint32_t maxBackoffDoublings = 3;
 /*! @brief Timeout of a cancellation: allows for a new stream and some round trips between regions. */
 constexpr Duration cancelTimeout = std::chrono::seconds{1};
--- a/src/bergamottide/entry/hedging.h
+++ b/src/bergamottide/entry/hedging.h
@@ -12,7 +12,7 @@
 namespace bergamottide {
 
 /**
- * @brief Estimates after which time a repeatable run should be hedged with a second one.
+ * @brief Estimates the delay after which a repeatable run is hedged with a second run.
  *
  * Hedging reduces the tail latency of each stage. The delay is a quantile of recent
  * durations relative to their estimates, so that only the slowest runs are hedged.
--- a/src/bergamottide/entry/homeclient.cpp
+++ b/src/bergamottide/entry/homeclient.cpp
@@ -10,7 +10,7 @@
 
 /*! @brief Unanswered attempts to open a request with an idempotency key before it is given up. */
 constexpr std::uint32_t maxOpenAttempts = 3;
-/*! @brief Limit of the exponential backoff between queries. */
+/*! @brief Maximum number of times that the interval between queries is doubled. */
 constexpr std::uint32_t maxBackoffDoublings = 3;
 
 } // namespace
--- a/src/bergamottide/entry/peerstatetable.h
+++ b/src/bergamottide/entry/peerstatetable.h
@@ -21,7 +21,7 @@
     TimePoint nextQueryAt{};
     /*! @brief This entry is replacing the stream; the closing does not mean that the sidecar has failed. */
     bool reopening{};
-    /*! @brief Number of the last wake-up after which the sidecar has answered. */
+    /*! @brief Number of the last suspension of this process after which the sidecar has answered. */
     std::uint64_t confirmedWakeup{};
 };
 
--- a/src/bergamottide/entry/recovery.cpp
+++ b/src/bergamottide/entry/recovery.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/*! @brief Limit of the exponential backoff between queries to a sidecar. */
+/*! @brief Maximum number of times that the interval between queries to a sidecar is doubled. */
 constexpr std::uint32_t maxBackoffDoublings = 3;
-/*! @brief Timeouts in a row after which a repeatable run is moved; by then a query on a new stream has failed too. */
+/*! @brief Consecutive timeouts after which a repeatable run is moved; by then a query on a new stream has failed too.
+ */
 constexpr std::uint32_t silentChecksBeforeMove = 2;
-/*! @brief Timeouts in a row after which a run that cannot be moved is given up, if its sidecar is disconnected. */
+/*! @brief Consecutive timeouts after which a run that cannot be moved is given up, if its sidecar is disconnected. */
 constexpr std::uint32_t silentChecksBeforeGivingUp = 5;
 
 bool hasRunAt(const Request &request, const InstanceName &sidecar)
--- a/src/bergamottide/entry/recovery.h
+++ b/src/bergamottide/entry/recovery.h
@@ -38,7 +38,8 @@
     void handleWakeup();
     /*! @brief Handles the reply to a ping. */
     void handlePong(const InstanceName &from, const Pong &message);
-    /*! @brief Reopens the streams to sidecars that have not answered since the last wake-up; call it periodically. */
+    /*! @brief Reopens the streams to sidecars that have not answered since the last suspension; call it periodically.
+     */
     void reopenUnconfirmedStreams();
 
 private:
@@ -52,7 +53,7 @@
     StageDriver &m_driver;
     HomeClient &m_homeClient;
     Fetches &m_fetches;
-    /*! @brief Number of the last wake-up; sequence of the pings sent then. */
+    /*! @brief Number of suspensions of this process; sequence of the pings sent after the last one. */
     std::uint64_t m_wakeupNumber{};
 };
 
--- a/src/bergamottide/entry/request.h
+++ b/src/bergamottide/entry/request.h
@@ -35,7 +35,7 @@
     std::optional<TimePoint> startedAt;
     /*! @brief Time of the last message about this run, or of its dispatch. */
     TimePoint lastMessageAt{};
-    /*! @brief Queries about this run since the last message about it. */
+    /*! @brief Progress timeouts of this run since the last message about it. */
     std::uint32_t unansweredQueries{};
     /*! @brief `PeerState::streamEpoch` of the sidecar at dispatch. */
     std::uint32_t streamEpoch{};
--- a/src/bergamottide/entry/timerqueue.h
+++ b/src/bergamottide/entry/timerqueue.h
@@ -14,13 +14,13 @@
 {
     /*! @brief The deadline of a request is reached. */
     Deadline,
-    /*! @brief No progress of a run was reported for some time. */
+    /*! @brief Checks whether a run has reported progress. */
     Progress,
     /*! @brief A run is slow enough to be hedged. */
     Hedge,
-    /*! @brief The home has not answered. */
+    /*! @brief Repeats an unanswered query to the home, tries another home or ends the request. */
     Home,
-    /*! @brief The home has not answered a fetch or cancellation. */
+    /*! @brief Repeats the query of a fetch or cancellation, or ends it at its deadline. */
     Fetch
 };
 
--- a/src/bergamottide/ledger/ledger.h
+++ b/src/bergamottide/ledger/ledger.h
@@ -22,7 +22,7 @@
     RunId run;
     /*! @brief Time after which the run may not be queued. */
     TimePoint latestStart;
-    /*! @brief Time until which the record is kept at least. */
+    /*! @brief Earliest time at which the record may be removed. */
     TimePoint retainUntil;
 };
 
@@ -86,20 +86,20 @@
 
     /**
      * @brief Records that the run of a serial has ended at the endpoint.
-     * @param keptUntil Time until which the record is kept at least.
+     * @param retainUntil Earliest time at which the record may be removed.
      */
     void markFinished(Serial serial, TimePoint retainUntil);
 
     /**
      * @brief Seals a serial that is opened or queued, so that its run never starts.
-     * @param keptUntil Time until which the record is kept at least.
+     * @param retainUntil Earliest time at which the record may be removed.
      * @return State afterwards: `Sealed`; `Running` or `Finished` if it is too late; `Absent` if the serial is unknown.
      */
     LedgerState seal(Serial serial, TimePoint retainUntil);
 
     /**
      * @brief Seals a serial whose run was refused by the endpoint before it started.
-     * @param keptUntil Time until which the record is kept at least.
+     * @param retainUntil Earliest time at which the record may be removed.
      */
     void markRefused(Serial serial, TimePoint retainUntil);
 
