--- a/src/bergamottide/entry/recovery.cpp
+++ b/src/bergamottide/entry/recovery.cpp
@@ -9,8 +9,7 @@
 
 /*! @brief Maximum number of times that the interval between queries to a sidecar is doubled. */
 constexpr std::uint32_t maxBackoffDoublings = 3;
-/*! @brief Consecutive timeouts after which a repeatable run is moved; by then a query on a new stream has failed too.
- */
+/*! @brief Consecutive timeouts after which a repeatable run is moved; a query on a new stream has failed by then. */
 constexpr std::uint32_t silentChecksBeforeMove = 2;
 /*! @brief Consecutive timeouts after which a run that cannot be moved is given up, if its sidecar is disconnected. */
 constexpr std::uint32_t silentChecksBeforeGivingUp = 5;
--- a/src/bergamottide/entry/recovery.h
+++ b/src/bergamottide/entry/recovery.h
@@ -38,8 +38,7 @@
     void handleWakeup();
     /*! @brief Handles the reply to a ping. */
     void handlePong(const InstanceName &from, const Pong &message);
-    /*! @brief Reopens the streams to sidecars that have not answered since the last suspension; call it periodically.
-     */
+    /*! @brief Reopens the streams to sidecars that have not answered since the last suspension; called periodically. */
     void reopenUnconfirmedStreams();
 
 private:
