--- a/src/bergamottide/entry/entryreducer.cpp
+++ b/src/bergamottide/entry/entryreducer.cpp
@@ -126,7 +126,7 @@
     if (!requestedWakeup || context.now <= *requestedWakeup + context.policy().pauseGap) {
         return;
     }
-    recovery.handleWakeup();
+    recovery.handleResumed();
     expireTimers();
 }
 
--- a/src/bergamottide/entry/peerstatetable.h
+++ b/src/bergamottide/entry/peerstatetable.h
@@ -22,7 +22,7 @@
     /*! @brief This entry is replacing the stream; the closing does not mean that the sidecar has failed. */
     bool reopening{};
     /*! @brief Number of the last suspension of this process after which the sidecar has answered. */
-    std::uint64_t confirmedWakeup{};
+    std::uint64_t confirmedSuspension{};
 };
 
 /*! @brief States of the streams of an entry, by name of the peer. */
--- a/src/bergamottide/entry/recovery.cpp
+++ b/src/bergamottide/entry/recovery.cpp
@@ -69,15 +69,15 @@
     if (!silent) {
         return;
     }
-    ++run.unansweredQueries;
+    ++run.progressTimeouts;
     const InstanceName sidecar = run.sidecar;
-    if (run.unansweredQueries >= silentChecksBeforeMove) {
+    if (run.progressTimeouts >= silentChecksBeforeMove) {
         m_context.ejector.recordFailure(run.endpoint);
         if (m_driver.moveElsewhere(*request, run)) {
             return;
         }
     }
-    if (run.unansweredQueries >= silentChecksBeforeGivingUp && !m_context.peers.connected(sidecar)) {
+    if (run.progressTimeouts >= silentChecksBeforeGivingUp && !m_context.peers.connected(sidecar)) {
         m_driver.runLost(*request, run, Reason::ConnectionLost, m_context.policy().ejectionTime);
         return;
     }
@@ -90,7 +90,7 @@
     peer.lastMessageAt = m_context.now;
     peer.unansweredQueries = 0;
     peer.nextQueryAt = {};
-    if (peer.confirmedWakeup == m_wakeupNumber) {
+    if (peer.confirmedSuspension == m_suspensionCount) {
         m_context.table.setSilent(from, false);
     }
 }
@@ -143,7 +143,7 @@
             continue;
         }
         run->lastMessageAt = m_context.now;
-        run->unansweredQueries = 0;
+        run->progressTimeouts = 0;
         if (item.state != RunState::Absent) {
             continue;
         }
@@ -195,15 +195,15 @@
     }
 }
 
-void Recovery::handleWakeup()
+void Recovery::handleResumed()
 {
-    ++m_wakeupNumber;
+    ++m_suspensionCount;
     m_context.paused = true;
     m_context.log(Severity::Warning, "Process was suspended; no run is started until a sidecar answers.", {});
     for (auto &[name, peer] : m_context.peers.all()) {
         if (peer.connected) {
             m_context.table.setSilent(name, true);
-            m_context.send(name, Ping{m_wakeupNumber});
+            m_context.send(name, Ping{m_suspensionCount});
             peer.nextQueryAt = m_context.now + m_context.policy().progressTimeout;
         }
     }
@@ -211,14 +211,14 @@
 
 void Recovery::handlePong(const InstanceName &from, const Pong &message)
 {
-    if (message.sequence == m_wakeupNumber) {
+    if (message.sequence == m_suspensionCount) {
         confirm(from);
     }
 }
 
 void Recovery::confirm(const InstanceName &sidecar)
 {
-    m_context.peers.at(sidecar).confirmedWakeup = m_wakeupNumber;
+    m_context.peers.at(sidecar).confirmedSuspension = m_suspensionCount;
     m_context.table.setSilent(sidecar, false);
     if (!std::exchange(m_context.paused, false)) {
         return;
@@ -231,7 +231,7 @@
 void Recovery::reopenUnconfirmedStreams()
 {
     for (auto &[name, peer] : m_context.peers.all()) {
-        if (!peer.connected || peer.confirmedWakeup == m_wakeupNumber || m_context.now < peer.nextQueryAt) {
+        if (!peer.connected || peer.confirmedSuspension == m_suspensionCount || m_context.now < peer.nextQueryAt) {
             continue;
         }
         peer.nextQueryAt = m_context.now
--- a/src/bergamottide/entry/recovery.h
+++ b/src/bergamottide/entry/recovery.h
@@ -35,7 +35,7 @@
     void handlePeerDown(const InstanceName &peer);
 
     /*! @brief Handles a suspension of this process: no run is started until a sidecar has answered a ping. */
-    void handleWakeup();
+    void handleResumed();
     /*! @brief Handles the reply to a ping. */
     void handlePong(const InstanceName &from, const Pong &message);
     /*! @brief Reopens the streams to sidecars that have not answered since the last suspension; called periodically. */
@@ -53,7 +53,7 @@
     HomeClient &m_homeClient;
     Fetches &m_fetches;
     /*! @brief Number of suspensions of this process; sequence of the pings sent after the last one. */
-    std::uint64_t m_wakeupNumber{};
+    std::uint64_t m_suspensionCount{};
 };
 
 } // namespace bergamottide
--- a/src/bergamottide/entry/request.h
+++ b/src/bergamottide/entry/request.h
@@ -36,7 +36,7 @@
     /*! @brief Time of the last message about this run, or of its dispatch. */
     TimePoint lastMessageAt{};
     /*! @brief Progress timeouts of this run since the last message about it. */
-    std::uint32_t unansweredQueries{};
+    std::uint32_t progressTimeouts{};
     /*! @brief `PeerState::streamEpoch` of the sidecar at dispatch. */
     std::uint32_t streamEpoch{};
     /*! @brief The run is the trial run of a half-open endpoint. */
--- a/src/bergamottide/entry/runtracker.cpp
+++ b/src/bergamottide/entry/runtracker.cpp
@@ -49,7 +49,7 @@
     }
     Request &request = *m_context.requests.find(message.run.request);
     run->lastMessageAt = m_context.now;
-    run->unansweredQueries = 0;
+    run->progressTimeouts = 0;
     if (message.state == RunState::Running && !run->startedAt) {
         run->startedAt = m_context.now;
     }
@@ -74,7 +74,7 @@
     }
     Request &request = *m_context.requests.find(message.run.request);
     run->lastMessageAt = m_context.now;
-    run->unansweredQueries = 0;
+    run->progressTimeouts = 0;
     if (message.state == RunState::Completed) {
         run->finished = message;
         run->result.finish(message.length, message.digest);
--- a/src/bergamottide/orders/orderplanner.cpp
+++ b/src/bergamottide/orders/orderplanner.cpp
@@ -28,7 +28,7 @@
 /*! @brief Time before an unassigned model is unloaded, so that a flapping instance list causes no reloads. */
 constexpr Duration unloadDelay = std::chrono::seconds{60};
 /*! @brief Low bits of a fencing token, which count the orders of one document version. */
-constexpr unsigned fenceBits = 20;
+constexpr unsigned orderCounterBits = 20;
 
 } // namespace
 
@@ -53,7 +53,7 @@
 void OrderPlanner::onReport(const EndpointLoadReport &report, TimePoint now)
 {
     m_reportedAt = now;
-    m_lastFence = std::max(m_lastFence, report.highestFencingToken);
+    m_lastFencingToken = std::max(m_lastFencingToken, report.highestFencingToken);
     m_loaded = {report.models.begin(), report.models.end()};
     // A model that is loaded again has neither the version nor the adapters that were set before.
     std::erase_if(m_versions, [this](const auto &entry) { return !m_loaded.contains(entry.first); });
@@ -100,7 +100,7 @@
     if (!order) {
         return std::nullopt;
     }
-    order->fencingToken = nextFence();
+    order->fencingToken = nextFencingToken();
     m_orderInFlight = OrderInFlight{*order, now};
     return order;
 }
@@ -168,10 +168,10 @@
     return m_assignedSince.at(model.name) + std::chrono::duration_cast<Duration>(delay);
 }
 
-std::uint64_t OrderPlanner::nextFence()
+std::uint64_t OrderPlanner::nextFencingToken()
 {
-    m_lastFence = std::max(m_lastFence + 1, m_version << fenceBits);
-    return m_lastFence;
+    m_lastFencingToken = std::max(m_lastFencingToken + 1, m_version << orderCounterBits);
+    return m_lastFencingToken;
 }
 
 void OrderPlanner::reset(TimePoint now)
--- a/src/bergamottide/orders/orderplanner.h
+++ b/src/bergamottide/orders/orderplanner.h
@@ -83,7 +83,7 @@
     [[nodiscard]] std::optional<SendOrder> orderFor(const AssignedModel &model, TimePoint now);
     [[nodiscard]] std::optional<SendOrder> unloadOrder(TimePoint now);
     [[nodiscard]] TimePoint loadStartTime(const AssignedModel &model) const;
-    [[nodiscard]] std::uint64_t nextFence();
+    [[nodiscard]] std::uint64_t nextFencingToken();
     void reset(TimePoint now);
 
     InstanceName m_engine;
@@ -100,7 +100,7 @@
     std::map<ModelName, std::string> m_versions;
     /*! @brief Adapters loaded by accepted orders, for each loaded model. */
     std::set<std::pair<ModelName, AdapterName>> m_adapters;
-    std::uint64_t m_lastFence{};
+    std::uint64_t m_lastFencingToken{};
     /*! @brief Only a report after this time shows the current state of the engine. */
     std::optional<TimePoint> m_reportRequiredAfter;
     std::optional<TimePoint> m_reportedAt;
--- a/src/bergamottide/serving/endpointdirectory.cpp
+++ b/src/bergamottide/serving/endpointdirectory.cpp
@@ -17,7 +17,7 @@
  */
 constexpr Duration graceAfterReturn = std::chrono::milliseconds{400};
 /*! @brief Tolerance for the end of the warm-up: entries contain the remaining time, so propagation delays shift it. */
-constexpr Duration coldUntilTolerance = std::chrono::milliseconds{1000};
+constexpr Duration warmupEndTolerance = std::chrono::milliseconds{1000};
 /*! @brief Shortest outage that starts a grace period: in shorter ones no entry expires. */
 constexpr Duration minOutageWithGrace = std::chrono::milliseconds{1000};
 
@@ -50,15 +50,15 @@
     const bool draining = record.draining || (!isNewIncarnation && known.draining);
     const TimePoint warmupEndsAt =
         record.remainingWarmup > Duration::zero() ? now + record.remainingWarmup : TimePoint{};
-    const bool isColder = warmupEndsAt > known.warmupEndsAt + coldUntilTolerance;
+    const bool isColder = warmupEndsAt > known.warmupEndsAt + warmupEndTolerance;
     if (isNewIncarnation || known.draining != draining || known.address != record.address || known.pool != record.pool
         || known.slots != record.slots || isColder) {
         m_changed = true;
     }
-    const TimePoint knownColdUntil = known.warmupEndsAt;
+    const TimePoint knownWarmupEnd = known.warmupEndsAt;
     known = record;
     known.draining = draining;
-    known.warmupEndsAt = isNewIncarnation || isColder ? warmupEndsAt : knownColdUntil;
+    known.warmupEndsAt = isNewIncarnation || isColder ? warmupEndsAt : knownWarmupEnd;
 }
 
 void EndpointDirectory::remove(const InstanceName &instance, TimePoint now)
--- a/src/bergamottide/serving/membershipview.cpp
+++ b/src/bergamottide/serving/membershipview.cpp
@@ -20,7 +20,7 @@
 /*! @brief Processes served by each reader of the platform's store. */
 constexpr std::size_t processesPerReader = 32;
 /*! @brief Minimum capacity of a relay, relative to the largest one: relays own the queues of the whole fleet. */
-constexpr double minRelayStrength = 0.5;
+constexpr double minRelativeRelayCapacity = 0.5;
 
 /*! @brief Returns the digest of a roster entry. The digest of a roster is their sum, so that an entry can be
  * subtracted. */
@@ -58,7 +58,7 @@
     collectMembers(peers, now);
     selectRelays(canOwnQueues);
     selectPartners();
-    selectPlatformReaders();
+    selectStoreReaders();
 }
 
 bool MembershipView::isValid(TimePoint now) const noexcept
@@ -103,7 +103,7 @@
 
 const std::vector<std::string> &MembershipView::storeReaders() const noexcept
 {
-    return m_platformReaders;
+    return m_storeReaders;
 }
 
 bool MembershipView::isServedByOtherRelay(const PeerInfo &peer) const
@@ -216,7 +216,7 @@
         strongest = std::max(strongest, candidate.info.capacity);
     }
     std::erase_if(candidates, [strongest](const Relay &candidate) {
-        return candidate.info.capacity < strongest * minRelayStrength;
+        return candidate.info.capacity < strongest * minRelativeRelayCapacity;
     });
     m_relays = selectAcrossZones(std::move(candidates), relayKey, maxRelays);
     for (const Relay &relay : m_relays) {
@@ -254,7 +254,7 @@
  * A few readers bound the number of calls to the platform. They are spread over the zones, and a process prefers
  * readers of its own zone, to limit cross-zone traffic.
  */
-void MembershipView::selectPlatformReaders()
+void MembershipView::selectStoreReaders()
 {
     const std::size_t fleet = m_live.size() + 1;
     if (fleet < minFleetWithReaders) {
@@ -270,7 +270,7 @@
     std::stable_partition(readers.begin(), readers.end(),
                           [this](const Relay &reader) { return reader.info.zone == m_self.zone; });
     for (const Relay &reader : readers) {
-        m_platformReaders.push_back(reader.info.address);
+        m_storeReaders.push_back(reader.info.address);
     }
 }
 
--- a/src/bergamottide/serving/membershipview.h
+++ b/src/bergamottide/serving/membershipview.h
@@ -143,7 +143,7 @@
                                                               std::size_t limit);
     void selectRelays(bool canOwnQueues);
     void selectPartners();
-    void selectPlatformReaders();
+    void selectStoreReaders();
     [[nodiscard]] static std::map<InstanceName, RosterState> collectRosters(const PeerStates &peers, TimePoint now);
     [[nodiscard]] std::optional<PeerInfo> selectOwner(const PoolName &pool) const;
     [[nodiscard]] std::uint32_t computeShare(const std::string &key, std::uint32_t units) const;
@@ -161,7 +161,7 @@
     std::vector<Relay> m_relays;
     std::set<ZoneName> m_relayZones;
     std::vector<InstanceName> m_partners;
-    std::vector<std::string> m_platformReaders;
+    std::vector<std::string> m_storeReaders;
     bool m_isRelay{};
     std::uint64_t m_liveDigest{};
     std::uint64_t m_directDigest{};
--- a/src/bergamottide/serving/peers.cpp
+++ b/src/bergamottide/serving/peers.cpp
@@ -204,7 +204,7 @@
     struct Target
     {
         TimePoint sentAt;
-        double negatedStrength;
+        double negatedCapacity;
         std::uint64_t negatedScore;
         std::string address;
     };
@@ -218,7 +218,7 @@
         }
     }
     std::ranges::sort(targets, {}, [](const Target &target) {
-        return std::tie(target.sentAt, target.negatedStrength, target.negatedScore, target.address);
+        return std::tie(target.sentAt, target.negatedCapacity, target.negatedScore, target.address);
     });
     std::vector<std::string> out;
     for (const Target &target : targets) {
--- a/src/bergamottide/serving/resultmemory.cpp
+++ b/src/bergamottide/serving/resultmemory.cpp
@@ -54,27 +54,27 @@
         const std::string handle = m_expiries.begin()->second;
         remove(handle);
     }
-    for (auto next = m_heldElsewhere.begin(); next != m_heldElsewhere.end();) {
+    for (auto next = m_reportedUsage.begin(); next != m_reportedUsage.end();) {
         if (now - next->second.receivedAt < heldReportTtl) {
             ++next;
             continue;
         }
         adjustHeldBytes(next->second.results, false);
-        next = m_heldElsewhere.erase(next);
+        next = m_reportedUsage.erase(next);
     }
 }
 
-void ResultMemory::setHeldElsewhere(const StageTask &task, TimePoint now)
+void ResultMemory::setReportedUsage(const StageTask &task, TimePoint now)
 {
     const std::pair key{task.requester, task.pool};
-    const auto previous = m_heldElsewhere.find(key);
-    if (previous != m_heldElsewhere.end()) {
+    const auto previous = m_reportedUsage.find(key);
+    if (previous != m_reportedUsage.end()) {
         adjustHeldBytes(previous->second.results, false);
-        m_heldElsewhere.erase(previous);
+        m_reportedUsage.erase(previous);
     }
     if (!task.heldResults.empty()) {
         adjustHeldBytes(task.heldResults, true);
-        m_heldElsewhere.emplace(key, HeldReport{task.heldResults, now});
+        m_reportedUsage.emplace(key, HeldReport{task.heldResults, now});
     }
 }
 
--- a/src/bergamottide/serving/resultmemory.h
+++ b/src/bergamottide/serving/resultmemory.h
@@ -64,7 +64,7 @@
      * @param task Task with the report.
      * @param now Current time.
      */
-    void setHeldElsewhere(const StageTask &task, TimePoint now);
+    void setReportedUsage(const StageTask &task, TimePoint now);
 
 private:
     struct Result
@@ -83,7 +83,7 @@
     void adjustHeldBytes(const std::vector<ResultMemoryUsage> &results, bool isAdded);
 
     EndpointRegistry &m_endpoints;
-    std::map<std::pair<InstanceName, PoolName>, HeldReport> m_heldElsewhere;
+    std::map<std::pair<InstanceName, PoolName>, HeldReport> m_reportedUsage;
     std::map<std::string, Result> m_results;
     std::set<std::pair<TimePoint, std::string>> m_expiries;
     std::uint64_t m_nextLostNumber{1};
--- a/src/bergamottide/serving/stagescheduler.cpp
+++ b/src/bergamottide/serving/stagescheduler.cpp
@@ -123,7 +123,7 @@
         task.preferredZone.empty() ? now : std::min(now + maxZoneWait, task.latestStart - zoneWaitMargin);
     pending.task = std::move(task);
     m_queues[pending.task.pool].insert(queueKey(pending));
-    m_resultMemory.setHeldElsewhere(pending.task, now);
+    m_resultMemory.setReportedUsage(pending.task, now);
     m_loads[pending.task.pool].recordArrival(pending.task.rank, pending.task.pieces, now);
     m_scans[pending.task.pool].isRequested = true;
     m_tasks.emplace(id, std::move(pending));
--- a/test/bergamottide/serving/evacuation.cpp
+++ b/test/bergamottide/serving/evacuation.cpp
@@ -21,7 +21,7 @@
     CPPUNIT_TEST(evacuatedZoneGetsNoRequestsRetriesOrStageCalls);
     CPPUNIT_TEST(brokenStreamOfEvacuatedZoneResumesElsewhere);
     CPPUNIT_TEST(queuedStageWorkMovesToRemainingEndpoints);
-    CPPUNIT_TEST(requestIsRefusedWhenAllZonesAreEvacuated);
+    CPPUNIT_TEST(requestIsRejectedWhenAllZonesAreEvacuated);
     CPPUNIT_TEST(requestUsesTheRemainingZone);
     CPPUNIT_TEST(requestStaysInRegionsOfRouteAndWorkspace);
     CPPUNIT_TEST_SUITE_END();
@@ -107,7 +107,7 @@
         }
     }
 
-    void requestIsRefusedWhenAllZonesAreEvacuated()
+    void requestIsRejectedWhenAllZonesAreEvacuated()
     {
         evacuate({"a", "b", "c"});
         m_fixture.apply(m_fixture.arrival("/order/1"));
--- a/test/bergamottide/serving/fleetstart.cpp
+++ b/test/bergamottide/serving/fleetstart.cpp
@@ -12,7 +12,7 @@
 class FleetStartTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FleetStartTest);
-    CPPUNIT_TEST(processWithoutPeersHoldsBackStageTasks);
+    CPPUNIT_TEST(processWithoutPeersDefersStageTasks);
     CPPUNIT_TEST(tasksAreHandedToOwnerAfterDiscovery);
     CPPUNIT_TEST(processWithoutPeersStartsAfterDiscoveryTimeout);
     CPPUNIT_TEST(taskOfDisconnectedCallerIsDropped);
@@ -28,7 +28,7 @@
         m_fixture.apply(arrival);
     }
 
-    void processWithoutPeersHoldsBackStageTasks()
+    void processWithoutPeersDefersStageTasks()
     {
         CPPUNIT_ASSERT(m_fixture.effect<StartStageCall>() == nullptr);
         m_fixture.advanceClock(std::chrono::milliseconds{500});
--- a/test/bergamottide/serving/largefleet.cpp
+++ b/test/bergamottide/serving/largefleet.cpp
@@ -33,9 +33,9 @@
     CPPUNIT_TEST(allEngineReportsAreKnownInMediumFleet);
     CPPUNIT_TEST(smallFleetHasNoReaders);
     CPPUNIT_TEST(failedReaderIsReplaced);
-    CPPUNIT_TEST(queueIsReviewedOnlyAfterChange);
-    CPPUNIT_TEST(queueIsReviewedWhenResultMemoryIsFreed);
-    CPPUNIT_TEST(queueIsReviewedWhenEndpointListChanges);
+    CPPUNIT_TEST(queueIsScannedOnlyAfterChange);
+    CPPUNIT_TEST(queueIsScannedWhenResultMemoryIsFreed);
+    CPPUNIT_TEST(queueIsScannedWhenEndpointListChanges);
     CPPUNIT_TEST(poolsAreUpdatedWhenEndpointDisappears);
     CPPUNIT_TEST_SUITE_END();
 
@@ -208,7 +208,7 @@
         CPPUNIT_ASSERT(fleet.readers() == fleet.addressesWithoutReaders());
     }
 
-    void queueIsReviewedOnlyAfterChange()
+    void queueIsScannedOnlyAfterChange()
     {
         queueTaskBehindBusyEndpoint();
         const std::size_t before = m_scheduler.scanCount();
@@ -222,7 +222,7 @@
         CPPUNIT_ASSERT_EQUAL(before + 1, m_scheduler.scanCount());
     }
 
-    void queueIsReviewedWhenResultMemoryIsFreed()
+    void queueIsScannedWhenResultMemoryIsFreed()
     {
         queueTaskBehindBusyEndpoint();
         const std::size_t before = m_scheduler.scanCount();
@@ -231,7 +231,7 @@
         CPPUNIT_ASSERT_EQUAL(before + 1, m_scheduler.scanCount());
     }
 
-    void queueIsReviewedWhenEndpointListChanges()
+    void queueIsScannedWhenEndpointListChanges()
     {
         list({"encoder-1"});
         submit(1);
--- a/test/platform/codecs.cpp
+++ b/test/platform/codecs.cpp
@@ -39,7 +39,7 @@
     CPPUNIT_TEST(rejectsMalformedHeaders);
     CPPUNIT_TEST(removesReservedAndHopByHopHeaders);
     CPPUNIT_TEST(encodesRunWithRemainingDeadline);
-    CPPUNIT_TEST(verifiesAttemptAndSealOfResponses);
+    CPPUNIT_TEST(checksAttemptAndSignatureOfResponses);
     CPPUNIT_TEST(acceptsRejectionWithoutAttempt);
     CPPUNIT_TEST(encodesRetryAfterInFractionalSeconds);
     CPPUNIT_TEST(encodesAndDecodesStageCalls);
@@ -121,7 +121,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string{"7"}, std::string{headerValue(out.headers, "last-event-id")});
     }
 
-    void verifiesAttemptAndSealOfResponses()
+    void checksAttemptAndSignatureOfResponses()
     {
         serving::CallerRequest request;
         request.attempt = "a1";
