--- a/src/bergamottide/serving/stagescheduler.cpp
+++ b/src/bergamottide/serving/stagescheduler.cpp
@@ -172,7 +172,7 @@
 
 /*
  * Most events that this process handles, such as each token of a stream, do not affect the queues. Scanning them at
- * every event would take a large part of a core (benchmark `keepQueue`).
+ * every event would take too much CPU time.
  */
 bool StageScheduler::isScanDue(const QueueScan &scan, TimePoint now)
 {
--- a/src/bergamottide/serving/stagetask.h
+++ b/src/bergamottide/serving/stagetask.h
@@ -36,7 +36,7 @@
 {
 };
 
-/*! @brief One stage of a request, to be computed piece by piece by the endpoints of a pool. */
+/*! @brief One stage of a request; its pieces are computed independently by the endpoints of a pool. */
 struct StageTask
 {
     StageTaskId id{};
@@ -80,7 +80,7 @@
     Error
 };
 
-/*! @brief Result of one piece. */
+/*! @brief Handle of the result of a piece, or the reason of its failure. */
 struct PieceResult
 {
     /*! @brief Handle of the stored result; empty after a failure. */
@@ -88,7 +88,7 @@
     PieceFailure failure{};
 };
 
-/*! @brief Result of one piece, or the failure of a whole task. */
+/*! @brief Outcome of one piece, or the failure of a whole task. */
 struct StageOutcome
 {
     StageTaskId task{};
