--- a/src/bergamottide/app/callerport.cpp
+++ b/src/bergamottide/app/callerport.cpp
@@ -126,7 +126,7 @@
     RequestId request;
     std::array<unsigned char, sizeof(request.high) + sizeof(request.low)> bytes{};
     if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1) {
-        // Without random bytes, the seed of this process start and a counter still give a unique identity.
+        // Without random bytes, a per-process seed and a counter still give a unique identity.
         return RequestId{m_seed, ++m_generatedRequests};
     }
     std::memcpy(&request.high, bytes.data(), sizeof(request.high));
--- a/src/bergamottide/app/callerrequest.cpp
+++ b/src/bergamottide/app/callerrequest.cpp
@@ -104,7 +104,7 @@
     return absl::OkStatus();
 }
 
-/*! @brief Returns the workspace of a key, so that all keys of a workspace derive the same request identities. */
+/*! @brief Returns the workspace of a key, or the digest if none is known; keys of one workspace share identities. */
 std::string findKeyOwner(const std::string &digest, const CallerContext &context)
 {
     if (!context.document) {
--- a/src/bergamottide/entry/entryevents.h
+++ b/src/bergamottide/entry/entryevents.h
@@ -156,7 +156,7 @@
     Reason reason{};
     /*! @brief Name of the invalid field; empty unless the input was invalid. */
     std::string field;
-    /*! @brief Time after which the caller may retry; zero if retrying is pointless. */
+    /*! @brief Time after which the caller may retry; zero if unknown or if retrying is pointless. */
     Duration retryAfter{};
     /*! @brief The result; when streaming, the part that was not sent yet. */
     std::string body;
--- a/src/bergamottide/entry/fetches.h
+++ b/src/bergamottide/entry/fetches.h
@@ -40,7 +40,7 @@
     [[nodiscard]] bool handleProgress(const InstanceName &from, const RunProgress &message);
     /*! @brief Handles the end of a run; returns whether a caller waits for it. */
     [[nodiscard]] bool handleFinished(const InstanceName &from, const RunFinished &message);
-    /*! @brief Handles the state of a serial. */
+    /*! @brief Handles a home's reply with the state of a serial. */
     void handleRequestState(const InstanceName &from, const RequestState &message);
     /*! @brief Repeats the query of a fetch, or ends the fetch at the caller's deadline. */
     void handleTimeout(std::uint64_t number);
--- a/src/bergamottide/entry/homeclient.h
+++ b/src/bergamottide/entry/homeclient.h
@@ -32,7 +32,7 @@
     void handleOpened(const InstanceName &from, const RequestOpened &message);
     /*! @brief Handles the refusal to open a record. */
     void handleOpenRefused(const InstanceName &from, const OpenRefused &message);
-    /*! @brief Handles the state of a serial. */
+    /*! @brief Handles a home's reply with the state of a serial. */
     void handleRequestState(const InstanceName &from, const RequestState &message);
     /*! @brief Repeats an unanswered query, tries another home or ends the request. */
     void handleTimeout(Request &request, std::uint64_t timer);
--- a/src/bergamottide/platform/instanceclient.h
+++ b/src/bergamottide/platform/instanceclient.h
@@ -48,7 +48,7 @@
      */
     InstanceClient(Loop &loop, const std::string &address, std::uint64_t seed, InstanceClientHooks hooks);
 
-    /*! @brief Starts to watch. */
+    /*! @brief Starts reading the instance list. */
     void start();
 
     /*! @brief Returns the counters since the start. */
--- a/src/bergamottide/serving/catalog.h
+++ b/src/bergamottide/serving/catalog.h
@@ -145,7 +145,7 @@
     std::vector<RegionName> regions;
 };
 
-/*! @brief Limits on caller connections. */
+/*! @brief Limits on the requests of callers, and on idle connections. */
 struct CallerLimits
 {
     std::size_t maxHeadBytes{16U << 10U};
--- a/src/bergamottide/serving/stagetask.h
+++ b/src/bergamottide/serving/stagetask.h
@@ -36,7 +36,7 @@
 {
 };
 
-/*! @brief One stage of a request; its pieces are computed independently by the endpoints of a pool. */
+/*! @brief One stage of a request; its pieces are computed independently, several in one call. */
 struct StageTask
 {
     StageTaskId id{};
